--- a/packages/controller/src/cleanup/cleanup.ts
+++ b/packages/controller/src/cleanup/cleanup.ts
@@ -1,4 +1,4 @@
-import { isExpiredEntry, ONCE_PREFIX } from '@poppypond/state';
+import { isExpiredEntry, LEDGER_PREFIX } from '@poppypond/state';
 import type { ControllerContext } from '../context.js';
 
 const DECISIONS_PREFIX = 'decisions/';
@@ -19,7 +19,7 @@
 
   async #cleanLedger(): Promise<void> {
     const { table, clock, settings } = this.context;
-    const rows = await table.scan(ONCE_PREFIX, this.#after);
+    const rows = await table.scan(LEDGER_PREFIX, this.#after);
     if (rows.isErr) return;
     this.#after = rows.value.at(-1)?.key ?? '';
     const now = clock.wallMs();
--- a/packages/emulator/src/draw-deployment.ts
+++ b/packages/emulator/src/draw-deployment.ts
@@ -26,11 +26,11 @@
     memoryTokens: Math.round(between(draw, 300_000, 500_000)),
     stepsPerPass: Math.round(between(draw, 30, 48)),
     stepMs: between(draw, 0.9, 1.4),
-    stepMsPerWriter: 0.001,
+    stepMsPerSequence: 0.001,
     stepMsPerThousandTokens: 0.002,
-    readTokensPerMs: between(draw, 140, 260),
-    readTokensPerStep: 2048,
-    readMsPerMillionPairs: between(draw, 0.1, 0.18),
+    prefillTokensPerMs: between(draw, 140, 260),
+    prefillTokensPerStep: 2048,
+    prefillMsPerMillionPairs: between(draw, 0.1, 0.18),
     usualAnswerTokens: 1300,
   };
 }
@@ -79,7 +79,8 @@
 function engineMs(kind: RequestKind, figures: EngineFigures): Milliseconds {
   const { mean, spread } = kind.promptTokens;
   const pairs = (mean * mean * Math.exp(spread * spread)) / 2;
-  const readMs = mean / figures.readTokensPerMs + (pairs / 1e6) * figures.readMsPerMillionPairs;
+  const readMs =
+    mean / figures.prefillTokensPerMs + (pairs / 1e6) * figures.prefillMsPerMillionPairs;
   const passMs = figures.stepsPerPass * figures.stepMs;
   return readMs + (kind.events.mean * passMs) / (figures.slots - 1);
 }
--- a/packages/emulator/src/emulated-engine.test.ts
+++ b/packages/emulator/src/emulated-engine.test.ts
@@ -1,4 +1,4 @@
-import { passTimeMs, tokensTimeMs } from '@poppypond/fleet';
+import { passTimeMs, prefillComputeMs } from '@poppypond/fleet';
 import { describe, expect, it } from 'vitest';
 import { EmulatedEngine } from './emulated-engine.js';
 import { VirtualClock } from './virtual-clock.js';
@@ -8,11 +8,11 @@
   memoryTokens: 405_000,
   stepsPerPass: 34,
   stepMs: 1.31,
-  stepMsPerWriter: 0.001,
+  stepMsPerSequence: 0.001,
   stepMsPerThousandTokens: 0.002,
-  readTokensPerMs: 154,
-  readTokensPerStep: 2048,
-  readMsPerMillionPairs: 0.162,
+  prefillTokensPerMs: 154,
+  prefillTokensPerStep: 2048,
+  prefillMsPerMillionPairs: 0.162,
   usualAnswerTokens: 1300,
 };
 
@@ -24,7 +24,7 @@
     seen.push(`${what} ${clock.monotonicMs().toFixed(1)}`);
   };
   const read = (streamId: string, tokens: number, isHelper = false) => {
-    const readMs = tokensTimeMs(FIGURES, tokens);
+    const readMs = prefillComputeMs(FIGURES, tokens);
     const onRead = () => {
       note(`${streamId} read`);
     };
@@ -55,7 +55,7 @@
     read('b', 5000, true);
     clock.runUntil(1000);
     const passMs = passTimeMs(FIGURES, 1, 10_000);
-    const secondMs = 2 * passMs + tokensTimeMs(FIGURES, 5000);
+    const secondMs = 2 * passMs + prefillComputeMs(FIGURES, 5000);
     expect(seen).toEqual([
       `a event ${passMs.toFixed(1)}`,
       `a last ${secondMs.toFixed(1)}`,
--- a/packages/emulator/src/emulated-engine.ts
+++ b/packages/emulator/src/emulated-engine.ts
@@ -137,7 +137,7 @@
     readonly readMs: Milliseconds;
     readonly finished: readonly RunningPart[];
   } {
-    const { readTokensPerStep, stepsPerPass } = this.figures;
+    const { prefillTokensPerStep: readTokensPerStep, stepsPerPass } = this.figures;
     let tokensLeft = readTokensPerStep * (hasWriters ? stepsPerPass : 1);
     let readMs = 0;
     const finished: RunningPart[] = [];
--- a/packages/emulator/src/engine-words.ts
+++ b/packages/emulator/src/engine-words.ts
@@ -1,5 +1,5 @@
 import type { Milliseconds } from '@poppypond/core';
-import { RestingServers, ServerLimits } from '@poppypond/fleet';
+import { ServerBackoffs, ServerLimits } from '@poppypond/fleet';
 import type { BackendServer } from '@poppypond/fleet';
 import type { ServerList } from '@poppypond/relay/planning';
 import type { EngineWord } from './deployment.js';
@@ -12,7 +12,7 @@
 
 /** What engines say of themselves on a day, and what the host makes of it. */
 export class EngineWords {
-  readonly #rests: RestingServers;
+  readonly #rests: ServerBackoffs;
   readonly #servers = new Map<string, BackendServer>();
   /** Limits that engines name. */
   readonly limits = new ServerLimits();
@@ -26,7 +26,7 @@
     readonly words: readonly EngineWord[],
     draw: () => number,
   ) {
-    this.#rests = new RestingServers(draw);
+    this.#rests = new ServerBackoffs(draw);
     for (const server of listed) this.#servers.set(server.id, server);
   }
 
@@ -39,7 +39,7 @@
     if (this.#says(id, 'limits')) this.limitedArrivals.push({ id, atMs: nowMs });
     if (!this.#says(id, 'rests')) return false;
     this.#rests.begin(server, REST_MS, nowMs);
-    this.#rests.onOver(server, attemptId);
+    this.#rests.onAttemptEnd(server, attemptId);
     return true;
   }
 
@@ -52,13 +52,13 @@
     if (this.#says(id, 'leaves')) this.list.onLeaving(server, nowMs);
     const isLimited = this.#says(id, 'limits');
     const named = { kind: 'named', perSecond: LIMIT_PER_SECOND } as const;
-    this.limits.hear(server, isLimited ? named : { kind: 'none' }, nowMs, nowMs);
+    this.limits.applyNotice(server, isLimited ? named : { kind: 'none' }, nowMs, nowMs);
   }
 
   /** Engines that may be sent nothing now. */
   excludedIds(): readonly string[] {
     const nowMs = this.clock.monotonicMs();
-    const resting = [...this.#servers.values()].filter((one) => !this.#rests.mayTake(one, nowMs));
+    const resting = [...this.#servers.values()].filter((one) => !this.#rests.canSend(one, nowMs));
     return resting.map(({ id }) => id);
   }
 
--- a/packages/emulator/src/play-day.test.ts
+++ b/packages/emulator/src/play-day.test.ts
@@ -1,11 +1,11 @@
 import {
   FleetView,
-  LateAsTimely,
-  LateWhenIdle,
-  RestingServers,
+  StartLatePrompts,
+  LatePromptsWhenIdle,
+  ServerBackoffs,
   ServerLimits,
 } from '@poppypond/fleet';
-import type { LatePromptRule } from '@poppypond/fleet';
+import type { LatePromptPolicy } from '@poppypond/fleet';
 import { seededRandom } from '@poppypond/load';
 import { afterEach, describe, expect, it, vi } from 'vitest';
 import { engineIdOf } from './deployment.js';
@@ -28,7 +28,7 @@
 }
 
 /** Days of turns on which 1.6 times as much comes as the deployment was drawn for. */
-function shareOfOverload(seeds: readonly number[], lateRule: LatePromptRule): number {
+function shareOfOverload(seeds: readonly number[], lateRule: LatePromptPolicy): number {
   const results = seeds.map((seed) => {
     const draw = seededRandom(seed);
     const drawn = drawDeployment('drawn', false, draw);
@@ -111,8 +111,8 @@
   it('finds a planted bad policy worse: a host that does not keep to the rest that engines ask for', () => {
     const seeds = [21, 22, 23, 24];
     const kept = refusedShareWithWords(seeds);
-    vi.spyOn(RestingServers.prototype, 'begin').mockImplementation(() => {
-      return { untilMs: 0, isNews: false };
+    vi.spyOn(ServerBackoffs.prototype, 'begin').mockImplementation(() => {
+      return { untilMs: 0, isNew: false };
     });
     expect(kept).toBeLessThan(0.01);
     expect(kept).toBeLessThan(refusedShareWithWords(seeds) / 3);
@@ -130,8 +130,8 @@
 
   it('earns more on overloaded days where late giant prompts leave engines to timely ones', () => {
     const seeds = [11, 12, 13, 14];
-    const all = shareOfOverload(seeds, new LateAsTimely());
-    const idle = shareOfOverload(seeds, new LateWhenIdle());
+    const all = shareOfOverload(seeds, new StartLatePrompts());
+    const idle = shareOfOverload(seeds, new LatePromptsWhenIdle());
     expect(idle).toBeGreaterThan(all + 0.05);
   });
 });
--- a/packages/emulator/src/play-day.ts
+++ b/packages/emulator/src/play-day.ts
@@ -1,10 +1,10 @@
 import type { CancelTimer, Milliseconds } from '@poppypond/core';
-import { callerSilenceMs, FleetView, tokensTimeMs } from '@poppypond/fleet';
-import type { BackendServer, LatePromptRule } from '@poppypond/fleet';
+import { callerIdleTimeoutMs, FleetView, prefillComputeMs } from '@poppypond/fleet';
+import type { BackendServer, LatePromptPolicy } from '@poppypond/fleet';
 import { seededRandom } from '@poppypond/load';
 import { Planner, ServerList } from '@poppypond/relay/planning';
 import type { PlannedStream, PlanRequest } from '@poppypond/relay/planning';
-import { ConfigurationInForce } from '@poppypond/routing';
+import { ActiveConfiguration } from '@poppypond/routing';
 import { silentLog } from '@poppypond/telemetry';
 import { engineIdOf } from './deployment.js';
 import type { DayPlan, Deployment } from './deployment.js';
@@ -49,7 +49,7 @@
   readonly #open = new Map<string, Open>();
   readonly #outcomes: Outcome[] = [];
   readonly #draw: () => number;
-  readonly #inForce = new ConfigurationInForce();
+  readonly #inForce = new ActiveConfiguration();
   readonly #servers: ServerList;
   /** What engines say of themselves. */
   readonly words: EngineWords;
@@ -62,7 +62,7 @@
     readonly deployment: Deployment,
     readonly day: DayPlan,
     seed: number,
-    readonly lateRule?: LatePromptRule,
+    readonly lateRule?: LatePromptPolicy,
   ) {
     this.#draw = seededRandom(seed);
     this.#servers = new ServerList(this.#clock, silentLog);
@@ -111,11 +111,11 @@
   #makePlanner(): Planner {
     return new Planner({
       clock: this.#clock,
-      inForce: this.#inForce,
+      activeConfiguration: this.#inForce,
       servers: this.#servers,
       fleet: this.#fleet,
-      draw: this.#draw,
-      lateRule: this.lateRule,
+      random: this.#draw,
+      latePromptPolicy: this.lateRule,
       limits: this.words.limits,
     });
   }
@@ -174,8 +174,8 @@
       aimMs: kind.aimMs,
       gapAimMs: kind.gapAimMs,
       arrivedAtMs: atMs,
-      silentSinceMs: atMs,
-      limitAtMs: atMs + kind.limitMs,
+      callerSilentSinceMs: atMs,
+      deadlineAtMs: atMs + kind.limitMs,
       isRepeated: turnedAwayBy.size > 0,
       avoidedIds: [...turnedAwayBy],
       excludedIds: this.words.excludedIds(),
@@ -189,7 +189,7 @@
   /** Sends the stream to the engines of its plan; the answer begins when all parts are read. */
   #place(open: Open, { writerId, readerIds }: PlannedStream): void {
     const { requestId, promptTokens } = open.arrival;
-    const tokensMs = tokensTimeMs(this.deployment.figures, promptTokens);
+    const tokensMs = prefillComputeMs(this.deployment.figures, promptTokens);
     const life = open.life;
     const ids = [writerId, ...readerIds];
     open.engineIds = ids;
@@ -249,7 +249,7 @@
     const { kind, atMs, requestId } = open.arrival;
     if (open.firstEventMs === undefined) {
       open.firstEventMs = nowMs - atMs;
-      this.#fleet.onReadDone(requestId);
+      this.#fleet.onPrefillDone(requestId);
     } else if (nowMs - open.lastEventAtMs > kind.gapAimMs) {
       open.hasLatePause = true;
     }
@@ -266,7 +266,7 @@
   #watchSilence(open: Open): void {
     const { aimMs, gapAimMs } = open.arrival.kind;
     open.cancelSilence();
-    open.cancelSilence = this.#clock.after(callerSilenceMs(aimMs, gapAimMs), () => {
+    open.cancelSilence = this.#clock.after(callerIdleTimeoutMs(aimMs, gapAimMs), () => {
       this.#end(open, 'left');
     });
   }
--- a/packages/fleet/src/accepted-harm.test.ts
+++ b/packages/fleet/src/accepted-harm.test.ts
@@ -8,7 +8,7 @@
   answerTokens: 1000,
   aimMs: 3000,
   waitedMs: 0,
-  patienceMs: 12_000,
+  callerTimeoutMs: 12_000,
   isRepeated: false,
 };
 const worth = streamWorth(demand.promptTokens);
--- a/packages/fleet/src/accepted-harm.ts
+++ b/packages/fleet/src/accepted-harm.ts
@@ -28,7 +28,7 @@
  * the caller, until it leaves.
  */
 export function acceptedHarm(demand: StreamDemand, { expectedFirstMs, isInTime }: Outlook): number {
-  const { promptTokens, aimMs, waitedMs, patienceMs } = demand;
+  const { promptTokens, aimMs, waitedMs, callerTimeoutMs: patienceMs } = demand;
   const worth = streamWorth(promptTokens);
   if (isInTime) return worth * LATE_LOSS * passedShare(waitedMs, aimMs - expectedFirstMs);
   const lastStartMs = patienceMs - expectedFirstMs;
--- a/packages/fleet/src/attempt-use.ts
+++ b/packages/fleet/src/attempt-use.ts
@@ -1,7 +1,7 @@
 import type { Milliseconds } from '@poppypond/core';
 
 /** Tokens of memory that are held on one engine for a request. */
-export interface HeldTokens {
+export interface ReservedTokens {
   readonly engineId: string;
   readonly tokens: number;
 }
@@ -17,13 +17,13 @@
   /** Time that each engine concerned spends reading. */
   readonly partMs: Milliseconds;
   /** Whether its first event has not come yet. */
-  readonly isReading: boolean;
+  readonly isPrefilling: boolean;
   /** When it was placed, on this process's clock. */
   readonly placedAtMs: Milliseconds;
   /** Tokens in the writer's memory. */
   readonly contextTokens: number;
   /** Memory on other engines, for prompts above one engine's memory. */
-  readonly held: readonly HeldTokens[];
+  readonly held: readonly ReservedTokens[];
   /** The longest pause that its caller takes. */
   readonly gapAimMs: Milliseconds;
   /** When it is dropped from the view whatever was heard, on this process's clock. */
--- a/packages/fleet/src/backend-server.ts
+++ b/packages/fleet/src/backend-server.ts
@@ -10,17 +10,17 @@
   readonly slots: number;
   readonly isDraining: boolean;
   /** Unix time at which this life began; undefined where the server doesn't tell. */
-  readonly bornMs?: Milliseconds | undefined;
+  readonly startedAtMs?: Milliseconds | undefined;
 }
 
 /**
  * Whether two words tell of one life. A server that starts again keeps its id, but not what it held
  * or ran; where it doesn't tell its birth, another address is a new life too.
  */
-export function isSameLife(one: BackendServer, other: BackendServer): boolean {
+export function isSameIncarnation(one: BackendServer, other: BackendServer): boolean {
   return (
     one.id === other.id &&
-    one.bornMs === other.bornMs &&
+    one.startedAtMs === other.startedAtMs &&
     one.address === other.address &&
     one.port === other.port
   );
--- a/packages/fleet/src/caller-silence.ts
+++ b/packages/fleet/src/caller-silence.ts
@@ -9,6 +9,6 @@
 const SILENCE_GAPS = 8;
 
 /** The silence after which the caller of a stream leaves it. */
-export function callerSilenceMs(aimMs: Milliseconds, gapAimMs: Milliseconds): Milliseconds {
+export function callerIdleTimeoutMs(aimMs: Milliseconds, gapAimMs: Milliseconds): Milliseconds {
   return Math.max(SHORTEST_SILENCE_MS, aimMs * SILENCE_AIMS, gapAimMs * SILENCE_GAPS);
 }
--- a/packages/fleet/src/choose-writer.ts
+++ b/packages/fleet/src/choose-writer.ts
@@ -12,9 +12,9 @@
   const candidates = [apart, free, writers].find((loads) => loads.length > 0) ?? [];
   return candidates.reduceRight<EngineLoad | undefined>((best, load) => {
     if (!best) return load;
-    if (load.impatientWriters !== best.impatientWriters) {
-      return load.impatientWriters < best.impatientWriters ? load : best;
+    if (load.latencySensitiveWriters !== best.latencySensitiveWriters) {
+      return load.latencySensitiveWriters < best.latencySensitiveWriters ? load : best;
     }
-    return load.memoryTokens < best.memoryTokens ? load : best;
+    return load.usedMemoryTokens < best.usedMemoryTokens ? load : best;
   }, undefined);
 }
--- a/packages/fleet/src/engine-load.ts
+++ b/packages/fleet/src/engine-load.ts
@@ -11,19 +11,19 @@
   /** Requests whose answers it writes or will write. */
   readonly writers: number;
   /** Writers whose pause a read of medium length would overrun. */
-  readonly impatientWriters: number;
+  readonly latencySensitiveWriters: number;
   /** What the writers' answers are worth together. */
-  readonly writersWorth: number;
+  readonly writersValue: number;
   /** Tokens that its writers read at every step. */
   readonly contextTokens: number;
   /** Tokens in its memory, those held for others included. */
-  readonly memoryTokens: number;
+  readonly usedMemoryTokens: number;
   /** Time of a pass without reading; 0 while nothing writes. */
   readonly passMs: Milliseconds;
   /** How long one more request would wait for a place; 0 where one is free. */
-  readonly placeWaitMs: Milliseconds;
+  readonly slotWaitMs: Milliseconds;
   /** Reading that it has before it, with the passes between. */
-  readonly pendingReadMs: Milliseconds;
+  readonly pendingPrefillMs: Milliseconds;
   /** The reading that the next pass may take in without a late event for any writer. */
   readonly slackMs: Milliseconds;
   /** How long it is avoided still where there are others; 0 where it is not. */
@@ -35,7 +35,7 @@
 /** Writers that allow shorter pauses than this count as impatient. */
 const IMPATIENT_GAP_MS: Milliseconds = 300;
 /** Word of the end of a read is sent only where it took this long; the end of others is foreseen. */
-export const TOLD_READ_MS: Milliseconds = 60;
+export const MIN_ANNOUNCED_PREFILL_MS: Milliseconds = 60;
 /** A read whose end was not told is taken to be over after this multiple of its time, and a while. */
 const READ_OVERRUN = 1.5;
 const LONGEST_OVERRUN_MS: Milliseconds = 300;
@@ -58,7 +58,7 @@
  * short reads, which are over before word of it would be of use.
  */
 function isReadingStill(use: AttemptUse, nowMs: Milliseconds): boolean {
-  if (!use.isReading) return false;
+  if (!use.isPrefilling) return false;
   return nowMs < use.placedAtMs + use.partMs * READ_OVERRUN + LONGEST_OVERRUN_MS;
 }
 
@@ -74,11 +74,12 @@
   let freeAtMs = nowMs;
   let isFirst = true;
   for (const use of uses) {
-    if (!use.isReading) continue;
+    if (!use.isPrefilling) continue;
     const beginsAtMs = isFirst ? use.placedAtMs : Math.max(freeAtMs, use.placedAtMs);
     isFirst = false;
     freeAtMs = beginsAtMs + use.partMs + Math.min(passMs, use.partMs);
-    const isLate = freeAtMs < nowMs && use.partMs >= TOLD_READ_MS && isReadingStill(use, nowMs);
+    const isLate =
+      freeAtMs < nowMs && use.partMs >= MIN_ANNOUNCED_PREFILL_MS && isReadingStill(use, nowMs);
     if (isLate) freeAtMs = nowMs + LATE_READ_MS;
   }
   return Math.max(0, freeAtMs - nowMs);
@@ -89,14 +90,14 @@
  * and nothing that was to be over by now may still be.
  */
 export function isSettled(
-  { pendingReadMs, avoidedMs }: EngineLoad,
+  { pendingPrefillMs: pendingReadMs, avoidedMs }: EngineLoad,
   uses: ReadonlySet<AttemptUse>,
   nowMs: Milliseconds,
 ): boolean {
   if (pendingReadMs > 0 || avoidedMs > 0) return false;
   for (const use of uses) {
     if (use.placedAtMs > nowMs) return false;
-    if (use.partMs >= TOLD_READ_MS && isReadingStill(use, nowMs)) return false;
+    if (use.partMs >= MIN_ANNOUNCED_PREFILL_MS && isReadingStill(use, nowMs)) return false;
   }
   return true;
 }
@@ -112,19 +113,25 @@
 /** What the writers of an engine take up together. */
 function sumWriters(engineId: string, uses: ReadonlySet<AttemptUse>) {
   let writers = 0;
-  let impatientWriters = 0;
+  let latencySensitiveWriters = 0;
   let contextTokens = 0;
-  let writersWorth = 0;
+  let writersValue = 0;
   let shortestGapMs = Number.POSITIVE_INFINITY;
   for (const use of uses) {
     if (use.writerId !== engineId) continue;
     writers += 1;
     contextTokens += use.contextTokens;
-    writersWorth += streamWorth(use.contextTokens);
-    if (use.gapAimMs < IMPATIENT_GAP_MS) impatientWriters += 1;
+    writersValue += streamWorth(use.contextTokens);
+    if (use.gapAimMs < IMPATIENT_GAP_MS) latencySensitiveWriters += 1;
     shortestGapMs = Math.min(shortestGapMs, use.gapAimMs);
   }
-  return { writers, impatientWriters, contextTokens, writersWorth, shortestGapMs };
+  return {
+    writers,
+    latencySensitiveWriters: latencySensitiveWriters,
+    contextTokens,
+    writersValue: writersValue,
+    shortestGapMs,
+  };
 }
 
 /** What follows for one engine from all `uses` that concern it, in the order they became known. */
@@ -142,10 +149,10 @@
   return {
     server,
     ...sums,
-    memoryTokens: contextTokens + heldOn(server.id, uses),
+    usedMemoryTokens: contextTokens + heldOn(server.id, uses),
     passMs,
-    placeWaitMs: placeWait(figures, writers, passMs),
-    pendingReadMs,
+    slotWaitMs: placeWait(figures, writers, passMs),
+    pendingPrefillMs: pendingReadMs,
     slackMs: allowedMs - passMs - pendingReadMs,
     avoidedMs,
   };
--- a/packages/fleet/src/engine-times.test.ts
+++ b/packages/fleet/src/engine-times.test.ts
@@ -1,16 +1,16 @@
 import { describe, expect, it } from 'vitest';
-import { readTimeMs } from './engine-times.js';
+import { prefillTimeMs } from './engine-times.js';
 
 const FIGURES = {
   slots: 11,
   memoryTokens: 405_000,
   stepsPerPass: 34,
   stepMs: 1.31,
-  stepMsPerWriter: 0.000917,
+  stepMsPerSequence: 0.000917,
   stepMsPerThousandTokens: 0.00213,
-  readTokensPerMs: 154,
-  readTokensPerStep: 2048,
-  readMsPerMillionPairs: 0.162,
+  prefillTokensPerMs: 154,
+  prefillTokensPerStep: 2048,
+  prefillMsPerMillionPairs: 0.162,
   usualAnswerTokens: 1300,
 };
 
@@ -22,6 +22,6 @@
     [182_851, 4023],
     [247_625, 6745],
   ])('foresees what an engine took to read %i tokens', (tokens, tookMs) => {
-    expect(Math.abs(readTimeMs(FIGURES, tokens) + 8 - tookMs)).toBeLessThan(8);
+    expect(Math.abs(prefillTimeMs(FIGURES, tokens) + 8 - tookMs)).toBeLessThan(8);
   });
 });
--- a/packages/fleet/src/fleet-view.test.ts
+++ b/packages/fleet/src/fleet-view.test.ts
@@ -12,11 +12,11 @@
   memoryTokens: 450_000,
   stepsPerPass: 73,
   stepMs: 0.925,
-  stepMsPerWriter: 0.00483,
+  stepMsPerSequence: 0.00483,
   stepMsPerThousandTokens: 0.00254,
-  readTokensPerMs: 256,
-  readTokensPerStep: 2048,
-  readMsPerMillionPairs: 0.0917,
+  prefillTokensPerMs: 256,
+  prefillTokensPerStep: 2048,
+  prefillMsPerMillionPairs: 0.0917,
   usualAnswerTokens: 1500,
 };
 
@@ -47,7 +47,7 @@
     contextTokens: 5000,
     held: partMs >= 60 ? [{ engineId: `i-${String(engine + 1)}`, tokens: 1000 }] : [],
     gapAimMs: 250,
-    isReading: true,
+    isPrefilling: true,
     placedAtMs: nowMs,
     expiresAtMs: nowMs + 10_000,
   };
@@ -64,7 +64,7 @@
 
   onReadDone(attemptId: string): void {
     const known = this.#uses.get(attemptId);
-    if (known?.isReading) this.begin({ ...known, isReading: false });
+    if (known?.isPrefilling) this.begin({ ...known, isPrefilling: false });
   }
 
   end(attemptId: string): void {
@@ -101,7 +101,7 @@
             anew.begin(begun);
           }
           if (kind === 'read') {
-            fleet.onReadDone(String(attempt));
+            fleet.onPrefillDone(String(attempt));
             anew.onReadDone(String(attempt));
           }
           if (kind === 'end') {
@@ -155,7 +155,7 @@
     view.suspicions.add('i-2', 0);
     view.forgetServer('i-2');
     expect(view.writersOn('i-2')).toBe(0);
-    const fresh = { writers: 0, memoryTokens: 0, pendingReadMs: 0, avoidedMs: 0 };
+    const fresh = { writers: 0, usedMemoryTokens: 0, pendingPrefillMs: 0, avoidedMs: 0 };
     expect(view.load(server(2), FIGURES, 0)).toMatchObject(fresh);
     expect(view.writersOn('i-1')).toBe(2);
     expect(view.load(server(3), FIGURES, 0)).toMatchObject(fresh);
--- a/packages/fleet/src/fleet-view.ts
+++ b/packages/fleet/src/fleet-view.ts
@@ -58,9 +58,9 @@
   }
 
   /** The first event came, so reading is over on all engines concerned. */
-  onReadDone(attemptId: string): void {
+  onPrefillDone(attemptId: string): void {
     const use = this.#attempts.get(attemptId);
-    if (use?.isReading) this.begin({ ...use, isReading: false });
+    if (use?.isPrefilling) this.begin({ ...use, isPrefilling: false });
   }
 
   /** Drops an attempt; nothing where it is not known. */
@@ -89,7 +89,7 @@
     }
     for (const use of uses) {
       if (!this.#attempts.has(use.attemptId)) this.begin(use);
-      else if (!use.isReading) this.onReadDone(use.attemptId);
+      else if (!use.isPrefilling) this.onPrefillDone(use.attemptId);
     }
   }
 
--- a/packages/fleet/src/followed-request.ts
+++ b/packages/fleet/src/followed-request.ts
@@ -1,26 +1,26 @@
 import type { Milliseconds } from '@poppypond/core';
 import { ContentId } from './content-id.js';
 import type { RequestContent } from './content-id.js';
-import { NOTHING_KNOWN } from './quarantine.js';
-import type { QuarantineEntry, Standing, Verdict } from './quarantine.js';
+import { NO_TERMINATIONS } from './quarantine.js';
+import type { QuarantineEntry, TerminationHistory, QuarantineVerdict } from './quarantine.js';
 
 /** What a host knows of requests under which servers ended, by its own clock and under its own name. */
-export interface KnownEnds {
+export interface QuarantineRegistry {
   /** Whether a request whose name begins with `hint` may be known. */
-  mayKnow(hint: () => string): boolean;
+  mayContain(hint: () => string): boolean;
   find(content: string): QuarantineEntry | undefined;
-  standingOf(content: string): Standing;
+  historyOf(content: string): TerminationHistory;
   /** Whether a request may run now. */
-  judge(content: string): Verdict;
+  judge(content: string): QuarantineVerdict;
   /** How long this host holds a request still that it holds. */
-  heldForMs(entry: QuarantineEntry): Milliseconds;
+  quarantinedForMs(entry: QuarantineEntry): Milliseconds;
   /** A server ended under a run that began when `began` was known; what is known now. */
-  onEnd(content: string, began: Standing, server: string): QuarantineEntry;
+  onTermination(content: string, began: TerminationHistory, server: string): QuarantineEntry;
   onServed(content: string): void;
 }
 
 /** What keeps a request from being run. */
-export interface Held {
+export interface QuarantineHold {
   readonly entry: QuarantineEntry;
   /** For how long still. */
   readonly forMs: Milliseconds;
@@ -30,13 +30,13 @@
 export class FollowedRequest {
   readonly #id: ContentId;
   /** What was known as each attempt began, by its id; removed once its server is known to have ended. */
-  readonly #began = new Map<string, Standing>();
+  readonly #began = new Map<string, TerminationHistory>();
   /** What was known after the last end under an attempt of this request. */
-  #own: Standing = NOTHING_KNOWN;
+  #own: TerminationHistory = NO_TERMINATIONS;
   #isTrial = false;
 
   constructor(
-    readonly known: KnownEnds,
+    readonly known: QuarantineRegistry,
     content: RequestContent,
   ) {
     this.#id = new ContentId(content);
@@ -49,35 +49,35 @@
 
   /** Ends under it that are known. */
   get ends(): number {
-    return this.known.standingOf(this.content).ends;
+    return this.known.historyOf(this.content).ends;
   }
 
   /** What keeps it from being run now; undefined where nothing does. */
-  heldBy(): Held | undefined {
+  checkHold(): QuarantineHold | undefined {
     if (this.#isTrial || !this.#mayBeKnown()) return undefined;
     const verdict = this.known.judge(this.content);
     this.#isTrial = verdict === 'trial';
     const entry = verdict === 'held' ? this.known.find(this.content) : undefined;
-    return entry && { entry, forMs: this.known.heldForMs(entry) };
+    return entry && { entry, forMs: this.known.quarantinedForMs(entry) };
   }
 
   /** An attempt begins. */
   begin(attempt: string): void {
     this.#began.set(
       attempt,
-      this.#mayBeKnown() ? this.known.standingOf(this.content) : NOTHING_KNOWN,
+      this.#mayBeKnown() ? this.known.historyOf(this.content) : NO_TERMINATIONS,
     );
   }
 
   /** A server ended under an attempt; counts once for each, after those of the attempts before it. */
-  onEnded(attempt: string, server: string): void {
+  onTerminated(attempt: string, server: string): void {
     const began = this.#began.get(attempt);
     if (!began) return;
     this.#began.delete(attempt);
     this.#isTrial = false;
     const { round } = began;
     const ends = this.#own.round === round ? Math.max(began.ends, this.#own.ends) : began.ends;
-    this.#own = this.known.onEnd(this.content, { round, ends }, server);
+    this.#own = this.known.onTermination(this.content, { round, ends }, server);
   }
 
   /** It was served. */
@@ -86,6 +86,6 @@
   }
 
   #mayBeKnown(): boolean {
-    return this.known.mayKnow(() => this.#id.hint);
+    return this.known.mayContain(() => this.#id.hint);
   }
 }
--- a/packages/fleet/src/foresee-first.test.ts
+++ b/packages/fleet/src/foresee-first.test.ts
@@ -16,13 +16,13 @@
       isDraining: false,
     },
     writers: 1,
-    impatientWriters: 0,
-    writersWorth: 1,
+    latencySensitiveWriters: 0,
+    writersValue: 1,
     contextTokens: 1000,
-    memoryTokens: 1000,
+    usedMemoryTokens: 1000,
     passMs,
-    placeWaitMs: 0,
-    pendingReadMs,
+    slotWaitMs: 0,
+    pendingPrefillMs: pendingReadMs,
     slackMs,
     avoidedMs: 0,
   };
@@ -30,11 +30,13 @@
 
 /** Over all engines for each number of parts. */
 function overAll(engines: readonly EngineLoad[], readMs: number): number {
-  const sorted = [...engines].sort((one, other) => one.pendingReadMs - other.pendingReadMs);
+  const sorted = [...engines].sort((one, other) => one.pendingPrefillMs - other.pendingPrefillMs);
   const firsts = Array.from({ length: Math.min(MOST_PARTS, engines.length) }, (_unused, index) => {
     const partMs = readMs / (index + 1);
-    const last = sorted.filter((one) => one.slackMs + one.pendingReadMs >= partMs)[index];
-    return last ? last.pendingReadMs + withOverrun(partMs) + last.passMs : Number.POSITIVE_INFINITY;
+    const last = sorted.filter((one) => one.slackMs + one.pendingPrefillMs >= partMs)[index];
+    return last
+      ? last.pendingPrefillMs + withOverrun(partMs) + last.passMs
+      : Number.POSITIVE_INFINITY;
   });
   return Math.min(Number.POSITIVE_INFINITY, ...firsts);
 }
--- a/packages/fleet/src/foresee-first.ts
+++ b/packages/fleet/src/foresee-first.ts
@@ -9,7 +9,7 @@
   partMs: Milliseconds,
 ): EngineLoad | undefined {
   let found = 0;
-  return soonFreeFirst.find(({ slackMs, pendingReadMs }) => {
+  return soonFreeFirst.find(({ slackMs, pendingPrefillMs: pendingReadMs }) => {
     if (slackMs + pendingReadMs >= partMs) found += 1;
     return found === parts;
   });
@@ -21,13 +21,15 @@
  * Infinite where no engine ever is.
  */
 export function foreseeFirstMs(engines: readonly EngineLoad[], readMs: Milliseconds): Milliseconds {
-  const soonFreeFirst = [...engines].sort((one, other) => one.pendingReadMs - other.pendingReadMs);
+  const soonFreeFirst = [...engines].sort(
+    (one, other) => one.pendingPrefillMs - other.pendingPrefillMs,
+  );
   let soonestMs = Number.POSITIVE_INFINITY;
   for (let parts = 1; parts <= Math.min(MOST_PARTS, engines.length); parts += 1) {
     const partMs = readMs / parts;
     const lastFree = lastOfFirst(soonFreeFirst, parts, partMs);
     if (!lastFree) continue;
-    const firstMs = lastFree.pendingReadMs + withOverrun(partMs) + lastFree.passMs;
+    const firstMs = lastFree.pendingPrefillMs + withOverrun(partMs) + lastFree.passMs;
     soonestMs = Math.min(soonestMs, firstMs);
   }
   return soonestMs;
--- a/packages/fleet/src/harm.ts
+++ b/packages/fleet/src/harm.ts
@@ -9,5 +9,5 @@
  * takes is the same in one part or in many, so it is no reason to prefer either.
  */
 export function harmOf(load: EngineLoad, partMs: Milliseconds): number {
-  return load.slackMs >= partMs ? 0 : load.writersWorth * LATE_LOSS;
+  return load.slackMs >= partMs ? 0 : load.writersValue * LATE_LOSS;
 }
--- a/packages/fleet/src/late-prompts.ts
+++ b/packages/fleet/src/late-prompts.ts
@@ -3,18 +3,18 @@
 import type { PlacementRule, StreamDemand } from './stream-plan.js';
 
 /** What becomes of a long prompt whose first event would be late if it began now. */
-export type LateVerdict =
+export type LateDecision =
   { readonly kind: 'begin' } | { readonly kind: 'wait' | 'refuse'; readonly rule: PlacementRule };
 
 /** Decides about long prompts that would be late. */
-export interface LatePromptRule {
+export interface LatePromptPolicy {
   /** `readMs`: time to read the whole prompt on one engine. */
-  judge(engines: readonly EngineLoad[], demand: StreamDemand, readMs: Milliseconds): LateVerdict;
+  decide(engines: readonly EngineLoad[], demand: StreamDemand, readMs: Milliseconds): LateDecision;
 }
 
 /** Late prompts begin as timely ones do: where they harm no writers, or little. */
-export class LateAsTimely implements LatePromptRule {
-  judge(): LateVerdict {
+export class StartLatePrompts implements LatePromptPolicy {
+  decide(): LateDecision {
     return { kind: 'begin' };
   }
 }
@@ -36,10 +36,12 @@
  * 0.850 and 0.903; 18 engines 0.959 and 0.962, at 1.25 times 0.914 and 0.914, at 1.6 times 0.598 and
  * 0.658. A prompt of which an engine has run a part goes on: what was spent on it would be lost.
  */
-export class LateWhenIdle implements LatePromptRule {
-  judge(engines: readonly EngineLoad[], demand: StreamDemand, readMs: Milliseconds): LateVerdict {
+export class LatePromptsWhenIdle implements LatePromptPolicy {
+  decide(engines: readonly EngineLoad[], demand: StreamDemand, readMs: Milliseconds): LateDecision {
     const isLarge = readMs > demand.aimMs;
-    const idle = engines.filter(({ pendingReadMs }) => pendingReadMs === 0).length;
+    const idle = engines.filter(
+      ({ pendingPrefillMs: pendingReadMs }) => pendingReadMs === 0,
+    ).length;
     const isFleetIdle = idle >= engines.length * IDLE_SHARE;
     if (!isLarge || demand.isRepeated || isFleetIdle) return { kind: 'begin' };
     const isPatient = demand.waitedMs <= demand.aimMs * PATIENCE_AIMS;
--- a/packages/fleet/src/leaving-lives.test.ts
+++ b/packages/fleet/src/leaving-lives.test.ts
@@ -1,13 +1,13 @@
 import { engineServer } from '@poppypond/mocks';
 import { describe, expect, it } from 'vitest';
 import type { BackendServer } from './backend-server.js';
-import { LeavingLives } from './leaving-lives.js';
+import { LeavingIncarnations } from './leaving-lives.js';
 
 const SERVER: BackendServer = engineServer('i-1');
 const DRAINING: BackendServer = { ...SERVER, isDraining: true };
 
-function leavingSince(saidAtMs: number, server = SERVER): LeavingLives {
-  const lives = new LeavingLives();
+function leavingSince(saidAtMs: number, server = SERVER): LeavingIncarnations {
+  const lives = new LeavingIncarnations();
   lives.add(server, saidAtMs);
   return lives;
 }
@@ -16,23 +16,23 @@
   it('takes each life in once, by its first word', () => {
     const lives = leavingSince(100);
     expect(lives.add(SERVER, 300)).toBe(false);
-    expect(lives.saidAtMs(SERVER)).toBe(100);
-    expect(lives.saidAtMs(engineServer('i-2'))).toBeUndefined();
+    expect(lives.announcedAtMs(SERVER)).toBe(100);
+    expect(lives.announcedAtMs(engineServer('i-2'))).toBeUndefined();
   });
 
   it('goes by the word as long as entries say ready, however long', () => {
     const lives = leavingSince(0);
     for (let nowMs = 0; nowMs < 600_000; nowMs += 1000) lives.onListed([SERVER], nowMs);
-    expect(lives.saidAtMs(SERVER)).toBe(0);
+    expect(lives.announcedAtMs(SERVER)).toBe(0);
   });
 
   it.each([
-    ['birth', { bornMs: 7 }],
+    ['birth', { startedAtMs: 7 }],
     ['port', { port: 9 }],
     ['address', { address: '10.0.0.9' }],
   ])('says nothing of another life by its %s', (_name, change) => {
     const lives = leavingSince(0);
-    expect(lives.saidAtMs({ ...SERVER, ...change })).toBeUndefined();
+    expect(lives.announcedAtMs({ ...SERVER, ...change })).toBeUndefined();
     expect(lives.add({ ...SERVER, ...change }, 50)).toBe(true);
   });
 
@@ -43,9 +43,9 @@
     lives.onListed([DRAINING], 3000);
     lives.onListed([SERVER], 4000);
     lives.onListed([SERVER], 12_900);
-    expect(lives.saidAtMs(SERVER)).toBe(0);
+    expect(lives.announcedAtMs(SERVER)).toBe(0);
     lives.onListed([SERVER], 13_100);
-    expect(lives.saidAtMs(SERVER)).toBeUndefined();
+    expect(lives.announcedAtMs(SERVER)).toBeUndefined();
   });
 
   it('takes one that was not listed for long for a new life at once', () => {
@@ -53,7 +53,7 @@
     lives.onListed([], 1000);
     lives.onListed([], 11_000);
     lives.onListed([SERVER], 11_100);
-    expect(lives.saidAtMs(SERVER)).toBeUndefined();
+    expect(lives.announcedAtMs(SERVER)).toBeUndefined();
   });
 
   it('keeps one that lapsed and is back by a write that was taken up to 6 s late', () => {
@@ -61,18 +61,18 @@
     lives.onListed([], 1000);
     lives.onListed([SERVER], 7000);
     lives.onListed([], 10_600);
-    expect(lives.saidAtMs(SERVER)).toBe(0);
+    expect(lives.announcedAtMs(SERVER)).toBe(0);
   });
 
   it('holds as long as the life where births are told, whatever the list said meanwhile', () => {
-    const born = { ...SERVER, bornMs: 5 };
+    const born = { ...SERVER, startedAtMs: 5 };
     const lives = leavingSince(0, born);
     lives.onListed([], 1000);
     lives.onListed([born], 30_000);
     lives.onListed([{ ...born, isDraining: true }], 31_000);
     lives.onListed([born], 50_000);
-    expect(lives.saidAtMs(born)).toBe(0);
-    lives.onListed([{ ...born, bornMs: 6 }], 51_000);
+    expect(lives.announcedAtMs(born)).toBe(0);
+    lives.onListed([{ ...born, startedAtMs: 6 }], 51_000);
     expect(lives.size).toBe(0);
   });
 
--- a/packages/fleet/src/leaving-lives.ts
+++ b/packages/fleet/src/leaving-lives.ts
@@ -1,5 +1,5 @@
 import type { Milliseconds } from '@poppypond/core';
-import { isSameLife } from './backend-server.js';
+import { isSameIncarnation } from './backend-server.js';
 import type { BackendServer } from './backend-server.js';
 
 interface LeavingLife {
@@ -23,7 +23,7 @@
  * Lives of servers that said themselves that they leave. Such a word is newer than any entry that tells otherwise,
  * by a time that nobody knows: the list is as old as the store is away. So it holds as long as the life.
  */
-export class LeavingLives {
+export class LeavingIncarnations {
   readonly #lives = new Map<string, LeavingLife>();
 
   get size(): number {
@@ -32,15 +32,15 @@
 
   /** The server said so at `saidAtMs`, to this host or another; false where that was known. */
   add(server: BackendServer, saidAtMs: Milliseconds): boolean {
-    if (this.saidAtMs(server) !== undefined) return false;
+    if (this.announcedAtMs(server) !== undefined) return false;
     this.#lives.set(server.id, { server, saidAtMs });
     return true;
   }
 
   /** When this life first said that it leaves; undefined where it did not. */
-  saidAtMs(server: BackendServer): Milliseconds | undefined {
+  announcedAtMs(server: BackendServer): Milliseconds | undefined {
     const known = this.#lives.get(server.id);
-    return known && isSameLife(known.server, server) ? known.saidAtMs : undefined;
+    return known && isSameIncarnation(known.server, server) ? known.saidAtMs : undefined;
   }
 
   /**
@@ -64,8 +64,8 @@
     if (listed === undefined) {
       if (nowMs - unlistedSinceMs > UNLISTED_KNOWN_MS) this.#lives.delete(id);
       else this.#lives.set(id, { ...life, confirmedAtMs: nowMs, unlistedSinceMs });
-    } else if (!isSameLife(life.server, listed)) this.#lives.delete(id);
+    } else if (!isSameIncarnation(life.server, listed)) this.#lives.delete(id);
     else if (listed.isDraining) this.#lives.set(id, { ...life, confirmedAtMs: nowMs });
-    else if (listed.bornMs === undefined && sinceMs > LATE_WRITE_MS) this.#lives.delete(id);
+    else if (listed.startedAtMs === undefined && sinceMs > LATE_WRITE_MS) this.#lives.delete(id);
   }
 }
--- a/packages/fleet/src/limit-ledger.test.ts
+++ b/packages/fleet/src/limit-ledger.test.ts
@@ -1,7 +1,7 @@
 import { engineServer } from '@poppypond/mocks';
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
-import { LimitLedger } from './limit-ledger.js';
+import { PermitBuckets } from './limit-ledger.js';
 import type { LimitPart } from './limit-ledger.js';
 import { ServerLimits } from './server-limits.js';
 
@@ -11,11 +11,11 @@
 
 function ledgerOf(perSecond: number) {
   const limits = new ServerLimits();
-  limits.hear(SERVER, { kind: 'named', perSecond }, 0, 0);
-  const ledger = new LimitLedger(limits);
+  limits.applyNotice(SERVER, { kind: 'named', perSecond }, 0, 0);
+  const ledger = new PermitBuckets(limits);
   const tryGive = (nowMs: number, part = WHOLE) => {
-    if (ledger.placesOf(SERVER, part, nowMs) < 1) return false;
-    ledger.give(SERVER, part, nowMs);
+    if (ledger.availablePermits(SERVER, part, nowMs) < 1) return false;
+    ledger.grant(SERVER, part, nowMs);
     return true;
   };
   return { ledger, limits, tryGive };
@@ -25,20 +25,20 @@
   it('begins with nothing, and gives the next place when it has come in', () => {
     const { ledger, tryGive } = ledgerOf(2);
     expect(tryGive(0)).toBe(false);
-    expect(ledger.nextMs(SERVER, WHOLE, 0)).toBe(500);
+    expect(ledger.nextPermitInMs(SERVER, WHOLE, 0)).toBe(500);
     expect(tryGive(500)).toBe(true);
     expect(tryGive(501)).toBe(false);
   });
 
   it('gives freely for servers that name no limit', () => {
     const { ledger } = ledgerOf(2);
-    expect(ledger.placesOf(engineServer('i-2'), WHOLE, 0)).toBe(Number.POSITIVE_INFINITY);
+    expect(ledger.availablePermits(engineServer('i-2'), WHOLE, 0)).toBe(Number.POSITIVE_INFINITY);
   });
 
   it('counts what was used without being asked for', () => {
     const { ledger, tryGive } = ledgerOf(2);
     expect(tryGive(0)).toBe(false);
-    ledger.give(SERVER, WHOLE, 0);
+    ledger.grant(SERVER, WHOLE, 0);
     expect(tryGive(600)).toBe(false);
     expect(tryGive(1000)).toBe(true);
   });
@@ -53,9 +53,9 @@
   it('begins anew with each life', () => {
     const { ledger, limits, tryGive } = ledgerOf(2);
     expect(tryGive(0)).toBe(false);
-    const next = { ...SERVER, bornMs: 7 };
-    limits.hear(next, { kind: 'named', perSecond: 2 }, 100, 400);
-    expect(ledger.placesOf(next, WHOLE, 500)).toBe(0);
+    const next = { ...SERVER, startedAtMs: 7 };
+    limits.applyNotice(next, { kind: 'named', perSecond: 2 }, 100, 400);
+    expect(ledger.availablePermits(next, WHOLE, 500)).toBe(0);
   });
 
   it('never gives more in 4 s than the limit names and what is saved up', () => {
--- a/packages/fleet/src/limit-ledger.ts
+++ b/packages/fleet/src/limit-ledger.ts
@@ -1,5 +1,5 @@
 import type { Milliseconds } from '@poppypond/core';
-import { isSameLife } from './backend-server.js';
+import { isSameIncarnation } from './backend-server.js';
 import type { BackendServer } from './backend-server.js';
 import type { ServerLimits } from './server-limits.js';
 
@@ -39,20 +39,20 @@
  * Shares that each host would keep for itself don't do: of two a second, 330 hosts have one in three minutes each, and
  * sixty that each save up one send sixty at once. Begins with nothing, as what was given before is not known.
  */
-export class LimitLedger {
+export class PermitBuckets {
   readonly #buckets = new Map<string, Bucket>();
 
   constructor(readonly limits: ServerLimits) {}
 
   /** Requests that may be sent to a server now; infinite where it names no limit. */
-  placesOf(server: BackendServer, part: LimitPart, nowMs: Milliseconds): number {
+  availablePermits(server: BackendServer, part: LimitPart, nowMs: Milliseconds): number {
     const rate = this.rateOf(server, part, nowMs);
     if (rate === undefined) return Number.POSITIVE_INFINITY;
     return Math.max(0, Math.floor(this.#filled(server, part, rate, nowMs).places));
   }
 
   /** Gives a place, or counts one that was used without being asked for. */
-  give(server: BackendServer, part: LimitPart, nowMs: Milliseconds): void {
+  grant(server: BackendServer, part: LimitPart, nowMs: Milliseconds): void {
     const rate = this.rateOf(server, part, nowMs);
     if (rate === undefined) return;
     const bucket = this.#filled(server, part, rate, nowMs);
@@ -61,7 +61,7 @@
   }
 
   /** How long until a place is there; infinite where none is to come. */
-  nextMs(server: BackendServer, part: LimitPart, nowMs: Milliseconds): Milliseconds {
+  nextPermitInMs(server: BackendServer, part: LimitPart, nowMs: Milliseconds): Milliseconds {
     const rate = this.rateOf(server, part, nowMs);
     if (rate === undefined) return 0;
     const missing = 1 - this.#filled(server, part, rate, nowMs).places;
@@ -75,7 +75,7 @@
   }
 
   /** Places of a server that were given in the last 4 s, in whatever role. */
-  givenLately(server: BackendServer, nowMs: Milliseconds): number {
+  recentlyGranted(server: BackendServer, nowMs: Milliseconds): number {
     const given = LIMIT_ROLES.flatMap((role) => {
       return this.#buckets.get(`${role} ${server.id}`)?.given ?? [];
     });
@@ -87,7 +87,7 @@
     const known = this.#buckets.get(key);
     const isKept =
       known !== undefined &&
-      isSameLife(known.server, server) &&
+      isSameIncarnation(known.server, server) &&
       (role === 'first' || nowMs - known.atMs < FORGOTTEN_AFTER_MS);
     if (!isKept) return this.#begin(key, server, nowMs);
     const most = 1 + (rate * SAVED_MS) / MS_PER_SECOND;
--- a/packages/fleet/src/pack-short.ts
+++ b/packages/fleet/src/pack-short.ts
@@ -18,13 +18,17 @@
   engines: readonly EngineLoad[],
   figures: EngineFigures,
 ): readonly EngineLoad[] {
-  const writers = engines.reduce((sum, load) => sum + load.impatientWriters, 0);
+  const writers = engines.reduce((sum, load) => sum + load.latencySensitiveWriters, 0);
   const count = Math.ceil((writers + SOON_STARTED) / figures.slots);
   return engines.slice(0, Math.min(count, engines.length));
 }
 
 /** What a new request finds before it. */
-function beforeMs({ placeWaitMs, pendingReadMs, passMs }: EngineLoad): Milliseconds {
+function beforeMs({
+  slotWaitMs: placeWaitMs,
+  pendingPrefillMs: pendingReadMs,
+  passMs,
+}: EngineLoad): Milliseconds {
   return placeWaitMs + pendingReadMs + passMs;
 }
 
@@ -54,7 +58,7 @@
     (load) =>
       load.writers < figures.slots &&
       load.slackMs >= readMs &&
-      load.pendingReadMs <= LONGEST_READ_BEFORE_MS,
+      load.pendingPrefillMs <= LONGEST_READ_BEFORE_MS,
   );
   if (packed) return placement('packed', packed, [], readMs);
   const [first, ...others] = engines;
--- a/packages/fleet/src/place-stream.ts
+++ b/packages/fleet/src/place-stream.ts
@@ -1,12 +1,12 @@
 import type { Milliseconds } from '@poppypond/core';
 import type { EngineFigures } from '@poppypond/routing';
-import { readTimeMs } from './engine-times.js';
+import { prefillTimeMs } from './engine-times.js';
 import type { EngineLoad } from './engine-load.js';
-import { LateWhenIdle } from './late-prompts.js';
-import type { LatePromptRule } from './late-prompts.js';
+import { LatePromptsWhenIdle } from './late-prompts.js';
+import type { LatePromptPolicy } from './late-prompts.js';
 import { packShort, packWhole } from './pack-short.js';
 import { readInParts } from './read-in-parts.js';
-import { freeTokens } from './share-memory.js';
+import { freeMemoryTokens } from './share-memory.js';
 import type { StreamDemand, StreamPlan } from './stream-plan.js';
 import { withoutAvoided } from './suspicions.js';
 
@@ -18,7 +18,7 @@
 /** Prompts above this share of an engine's memory may be held on several. */
 const LARGE_SHARE = 0.75;
 
-const LATE_WHEN_IDLE = new LateWhenIdle();
+const LATE_WHEN_IDLE = new LatePromptsWhenIdle();
 
 function waitForMemory(demand: StreamDemand): StreamPlan {
   const isPatient = demand.waitedMs < demand.aimMs * MEMORY_PATIENCE_AIMS;
@@ -38,13 +38,13 @@
   loads: readonly EngineLoad[],
   figures: EngineFigures,
   demand: StreamDemand,
-  lateRule: LatePromptRule = LATE_WHEN_IDLE,
+  lateRule: LatePromptPolicy = LATE_WHEN_IDLE,
 ): StreamPlan {
   if (loads.length === 0) return { kind: 'refuse', rule: 'no_engine' };
-  const readMs = readTimeMs(figures, demand.promptTokens);
+  const readMs = prefillTimeMs(figures, demand.promptTokens);
   const usable = withoutAvoided(loads);
   const wanted = demand.promptTokens + demand.answerTokens;
-  const roomy = usable.filter((load) => freeTokens(load, figures) >= wanted);
+  const roomy = usable.filter((load) => freeMemoryTokens(load, figures) >= wanted);
   const isLarge = wanted > figures.memoryTokens * LARGE_SHARE;
   if (roomy.length === 0 && !isLarge) return waitForMemory(demand);
   const whole = packWhole(roomy, figures, readMs, demand);
--- a/packages/fleet/src/placement.test.ts
+++ b/packages/fleet/src/placement.test.ts
@@ -1,6 +1,6 @@
 import { ENGINE_FIGURES, engineServer } from '@poppypond/mocks';
 import { describe, expect, it } from 'vitest';
-import { readTimeMs } from './engine-times.js';
+import { prefillTimeMs } from './engine-times.js';
 import type { AttemptUse } from './attempt-use.js';
 import type { BackendServer } from './backend-server.js';
 import { FleetView } from './fleet-view.js';
@@ -22,7 +22,7 @@
     contextTokens: 6000,
     held: [],
     gapAimMs: 200,
-    isReading: false,
+    isPrefilling: false,
     placedAtMs: 0,
     expiresAtMs: 60_000,
     ...more,
@@ -37,7 +37,7 @@
     answerTokens: 1500,
     aimMs: long ? 3000 : 300,
     waitedMs: 0,
-    patienceMs: long ? 12_000 : 2000,
+    callerTimeoutMs: long ? 12_000 : 2000,
     isRepeated: false,
     ...more,
   });
@@ -66,7 +66,7 @@
     expect(placed.rule).toBe('parts_without_harm');
     expect(engines).not.toContain('i-00');
     expect(engines.length).toBeGreaterThan(1);
-    expect(placed.partMs * engines.length).toBeCloseTo(readTimeMs(ENGINE_FIGURES, 210_000));
+    expect(placed.partMs * engines.length).toBeCloseTo(prefillTimeMs(ENGINE_FIGURES, 210_000));
   });
 
   it('waits for engines that it would not disturb, and disturbs more the longer it has waited', () => {
@@ -90,7 +90,7 @@
   function readingView(freeCount: number, partMs: number): FleetView {
     const view = new FleetView();
     for (const { id } of servers.slice(freeCount)) {
-      view.begin(use(`read-${id}`, id, { partMs, isReading: true, gapAimMs: 1000 }));
+      view.begin(use(`read-${id}`, id, { partMs, isPrefilling: true, gapAimMs: 1000 }));
     }
     return view;
   }
@@ -186,10 +186,10 @@
     const view = new FleetView();
     const [server] = servers;
     if (!server) throw new Error('no server');
-    view.begin(use('a', server.id, { partMs: 100, isReading: true }));
-    expect(view.load(server, ENGINE_FIGURES, 0).pendingReadMs).toBeGreaterThanOrEqual(100);
-    view.onReadDone('a');
-    expect(view.load(server, ENGINE_FIGURES, 0).pendingReadMs).toBe(0);
+    view.begin(use('a', server.id, { partMs: 100, isPrefilling: true }));
+    expect(view.load(server, ENGINE_FIGURES, 0).pendingPrefillMs).toBeGreaterThanOrEqual(100);
+    view.onPrefillDone('a');
+    expect(view.load(server, ENGINE_FIGURES, 0).pendingPrefillMs).toBe(0);
     view.begin(use('b', server.id, { host: 'other', expiresAtMs: 10 }));
     view.expire(10);
     expect(view.size).toBe(1);
--- a/packages/fleet/src/quarantine-days.test.ts
+++ b/packages/fleet/src/quarantine-days.test.ts
@@ -1,7 +1,7 @@
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { describe, expect, it } from 'vitest';
 import { Quarantine } from './quarantine.js';
-import type { QuarantineEntry, Standing } from './quarantine.js';
+import type { QuarantineEntry, TerminationHistory } from './quarantine.js';
 
 /*
  * Which load this answers: hosts before engines that end for every reason there is (single ones, a zone, all of a service,
@@ -144,14 +144,14 @@
       this.#agenda.after(5, () => again(ownEnds));
       return;
     }
-    const known = quarantine.standingOf(content);
-    const began: Standing = { ...known, ends: Math.max(known.ends, ownEnds) };
+    const known = quarantine.historyOf(content);
+    const began: TerminationHistory = { ...known, ends: Math.max(known.ends, ownEnds) };
     const run: Run = {
       isFatal,
       onBroken: (found) => {
         if (found === 'lives') return again(ownEnds);
         const end = { server: 's', host: 'h', atMs: this.#agenda.nowMs };
-        const entry = quarantine.onEnd(content, began, end);
+        const entry = quarantine.onTermination(content, began, end);
         this.#tell(host, entry);
         again(entry.ends);
       },
@@ -166,7 +166,7 @@
 
   #onInnocentHeld(entry: QuarantineEntry | undefined): void {
     this.innocentsHeld += 1;
-    const heldForMs = this.#agenda.nowMs - (entry?.lastEnds.at(-1)?.atMs ?? 0);
+    const heldForMs = this.#agenda.nowMs - (entry?.lastTerminations.at(-1)?.atMs ?? 0);
     if (heldForMs > KNOWN_WITHIN_MS) this.innocentsHeldLater += 1;
   }
 
--- a/packages/fleet/src/quarantine.test.ts
+++ b/packages/fleet/src/quarantine.test.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
-import { MOST_ENDS, Quarantine } from './quarantine.js';
+import { MAX_TERMINATIONS, Quarantine } from './quarantine.js';
 import type { QuarantineEntry } from './quarantine.js';
 
 const A = 'hint-a-content';
@@ -13,7 +13,11 @@
 /** Servers end under a request one after the other, found at `atMs`. */
 function endInTurn(quarantine: Quarantine, content: string, times: number, atMs = 0): void {
   for (let index = 0; index < times; index += 1) {
-    quarantine.onEnd(content, quarantine.standingOf(content), end(`s${String(index)}`, atMs));
+    quarantine.onTermination(
+      content,
+      quarantine.historyOf(content),
+      end(`s${String(index)}`, atMs),
+    );
   }
 }
 
@@ -25,41 +29,41 @@
     endInTurn(quarantine, A, 1);
     expect(quarantine.judge(A, 1)).toBe('held');
     expect(quarantine.judge(B, 1)).toBe('free');
-    expect(quarantine.mayKnow(() => A.slice(0, 6))).toBe(true);
-    expect(quarantine.mayKnow(() => 'other')).toBe(false);
+    expect(quarantine.mayContain(() => A.slice(0, 6))).toBe(true);
+    expect(quarantine.mayContain(() => 'other')).toBe(false);
   });
 
   it('counts ends under runs that began before the first end was known once, however many', () => {
     const quarantine = new Quarantine();
-    const began = Array.from({ length: 20 }, () => quarantine.standingOf(A));
-    for (const standing of began) quarantine.onEnd(A, standing, end('s'));
+    const began = Array.from({ length: 20 }, () => quarantine.historyOf(A));
+    for (const standing of began) quarantine.onTermination(A, standing, end('s'));
     expect(quarantine.find(A)?.ends).toBe(1);
   });
 
   it('frees a request at its first good answer, also if ends of before are found later', () => {
     const quarantine = new Quarantine();
-    const before = quarantine.standingOf(A);
-    endInTurn(quarantine, A, MOST_ENDS);
+    const before = quarantine.historyOf(A);
+    endInTurn(quarantine, A, MAX_TERMINATIONS);
     quarantine.onServed(A, 5);
     expect(quarantine.judge(A, 6)).toBe('free');
-    expect(quarantine.onEnd(A, before, end('late')).ends).toBe(1);
+    expect(quarantine.onTermination(A, before, end('late')).ends).toBe(1);
   });
 
   it('gives one trial after twenty seconds, and the next after four times as long', () => {
     const quarantine = new Quarantine();
-    endInTurn(quarantine, A, MOST_ENDS);
+    endInTurn(quarantine, A, MAX_TERMINATIONS);
     expect(quarantine.judge(A, 19_999)).toBe('held');
     expect(quarantine.judge(A, 20_000, 500)).toBe('held');
     expect(quarantine.judge(A, 20_000)).toBe('trial');
     expect(quarantine.judge(A, 20_001)).toBe('held');
-    quarantine.onEnd(A, quarantine.standingOf(A), end('s4', 20_100));
+    quarantine.onTermination(A, quarantine.historyOf(A), end('s4', 20_100));
     expect(quarantine.judge(A, 100_099)).toBe('held');
     expect(quarantine.judge(A, 100_100)).toBe('trial');
   });
 
   it('forgets what is long over, and keeps a thousand requests at the most, those that are held first', () => {
     const quarantine = new Quarantine();
-    endInTurn(quarantine, A, MOST_ENDS, 0);
+    endInTurn(quarantine, A, MAX_TERMINATIONS, 0);
     for (let index = 0; index < 5000; index += 1)
       endInTurn(quarantine, `other-${String(index)}`, 1);
     expect(quarantine.size).toBe(1024);
@@ -68,7 +72,7 @@
     expect(quarantine.size).toBe(1);
     quarantine.expire(141_000);
     expect(quarantine.size).toBe(0);
-    expect(quarantine.mayKnow(() => A.slice(0, 6))).toBe(false);
+    expect(quarantine.mayContain(() => A.slice(0, 6))).toBe(false);
   });
 
   it('tells peers the newest entries each time and the others by turns', () => {
@@ -102,9 +106,9 @@
       content,
       round,
       ends,
-      heldUntilMs: ends * 1_000_000,
+      quarantinedUntilMs: ends * 1_000_000,
       changedAtMs: 0,
-      lastEnds: [],
+      lastTerminations: [],
     });
     const stateAfter = (entries: readonly QuarantineEntry[]) => {
       const quarantine = new Quarantine();
--- a/packages/fleet/src/quarantine.ts
+++ b/packages/fleet/src/quarantine.ts
@@ -2,7 +2,7 @@
 import { hintOf } from './content-id.js';
 
 /** A server that ended while it ran a request. */
-export interface ServerEnd {
+export interface ServerTermination {
   readonly server: string;
   /** The host whose attempt it was. */
   readonly host: string;
@@ -19,28 +19,28 @@
   /** Ends one after the other: each of a run that began when the one before was known. */
   readonly ends: number;
   /** Until when the request is not run, on this process's clock; counts from `MOST_ENDS` on. */
-  readonly heldUntilMs: Milliseconds;
+  readonly quarantinedUntilMs: Milliseconds;
   /** When any of this became known here, on this process's clock. */
   readonly changedAtMs: Milliseconds;
   /** The last of them. */
-  readonly lastEnds: readonly ServerEnd[];
+  readonly lastTerminations: readonly ServerTermination[];
 }
 
 /** What is known of a request as a run of it begins. */
-export interface Standing {
+export interface TerminationHistory {
   readonly round: number;
   readonly ends: number;
 }
 
 /** `trial`: it may run once more, as the time for which it was held is over. */
-export type Verdict = 'free' | 'trial' | 'held';
+export type QuarantineVerdict = 'free' | 'trial' | 'held';
 
 /**
  * Ends after which a request is not run any more. On 720 drawn days of ends, resets and releases, whole services
  * lost at once among them, 15 of 1,008,000 innocent requests met three that counted, and none was held back for
  * longer than 3 s (quarantine-days.test.ts).
  */
-export const MOST_ENDS = 3;
+export const MAX_TERMINATIONS = 3;
 /**
  * The first time for which it is held; each trial that ends a server makes it four times as long. A trial costs
  * all that runs on one server, some ten requests, and the server for some three seconds; an innocent request
@@ -57,15 +57,18 @@
 const LAST_ENDS = 3;
 
 /** Of a request of which nothing is known. */
-export const NOTHING_KNOWN: Standing = { round: 0, ends: 0 };
+export const NO_TERMINATIONS: TerminationHistory = { round: 0, ends: 0 };
 
 function holdMs(ends: number): Milliseconds {
-  return Math.min(LONGEST_HOLD_MS, FIRST_HOLD_MS * HOLD_GROWTH ** Math.max(0, ends - MOST_ENDS));
+  return Math.min(
+    LONGEST_HOLD_MS,
+    FIRST_HOLD_MS * HOLD_GROWTH ** Math.max(0, ends - MAX_TERMINATIONS),
+  );
 }
 
 /** Whether so many servers ended under a request that it is held, but for trials. */
 export function isQuarantined({ ends }: QuarantineEntry): boolean {
-  return ends >= MOST_ENDS;
+  return ends >= MAX_TERMINATIONS;
 }
 
 /** Whether `other` tells more than `known`, by the order in which all hosts agree. */
@@ -76,7 +79,10 @@
 
 /** Of the same ends; a difference that comes from the way of a message is none. */
 function isHeldLonger(other: QuarantineEntry, known: QuarantineEntry): boolean {
-  return other.ends === known.ends && other.heldUntilMs > known.heldUntilMs + holdMs(MOST_ENDS) / 2;
+  return (
+    other.ends === known.ends &&
+    other.quarantinedUntilMs > known.quarantinedUntilMs + holdMs(MAX_TERMINATIONS) / 2
+  );
 }
 
 /**
@@ -98,7 +104,7 @@
   }
 
   /** Whether a request whose name begins with `hint` may be known; asked before its body is read. */
-  mayKnow(hint: () => string): boolean {
+  mayContain(hint: () => string): boolean {
     return this.#hints.size > 0 && this.#hints.has(hint());
   }
 
@@ -108,38 +114,50 @@
   }
 
   /** To be asked as a run begins. */
-  standingOf(content: string): Standing {
-    return this.#entries.get(content) ?? NOTHING_KNOWN;
+  historyOf(content: string): TerminationHistory {
+    return this.#entries.get(content) ?? NO_TERMINATIONS;
   }
 
   /** Requests that are not run now. */
-  heldCount(nowMs: Milliseconds): number {
+  quarantinedCount(nowMs: Milliseconds): number {
     const entries = [...this.#entries.values()];
-    return entries.filter((entry) => isQuarantined(entry) && nowMs < entry.heldUntilMs).length;
+    return entries.filter((entry) => isQuarantined(entry) && nowMs < entry.quarantinedUntilMs)
+      .length;
   }
 
   /**
    * Whether a request may run now; the trial is given once, to whoever asks first. Of several hosts each waits
    * `graceMs` of its own, so that all hear of one trial before the next host gives another.
    */
-  judge(content: string, nowMs: Milliseconds, graceMs: Milliseconds = 0): Verdict {
+  judge(content: string, nowMs: Milliseconds, graceMs: Milliseconds = 0): QuarantineVerdict {
     const entry = this.#entries.get(content);
     if (!entry || !isQuarantined(entry)) return 'free';
-    if (nowMs < entry.heldUntilMs + graceMs) return 'held';
-    this.#put({ ...entry, heldUntilMs: nowMs + holdMs(entry.ends), changedAtMs: nowMs });
+    if (nowMs < entry.quarantinedUntilMs + graceMs) return 'held';
+    this.#put({ ...entry, quarantinedUntilMs: nowMs + holdMs(entry.ends), changedAtMs: nowMs });
     return 'trial';
   }
 
   /** A server ended under a run that began when `began` was known; what is known now. */
-  onEnd(content: string, began: Standing, end: ServerEnd): QuarantineEntry {
+  onTermination(
+    content: string,
+    began: TerminationHistory,
+    end: ServerTermination,
+  ): QuarantineEntry {
     const known = this.#entries.get(content);
     const round = known?.round ?? began.round;
     const before = began.round === round ? began.ends : 0;
     const ends = Math.max(known?.ends ?? 0, before + 1);
     const isNext = ends > (known?.ends ?? 0);
-    const heldUntilMs = isNext ? end.atMs + holdMs(ends) : (known?.heldUntilMs ?? 0);
-    const lastEnds = [...(known?.lastEnds ?? []), end].slice(-LAST_ENDS);
-    const entry = { content, round, ends, heldUntilMs, changedAtMs: end.atMs, lastEnds };
+    const quarantinedUntilMs = isNext ? end.atMs + holdMs(ends) : (known?.quarantinedUntilMs ?? 0);
+    const lastTerminations = [...(known?.lastTerminations ?? []), end].slice(-LAST_ENDS);
+    const entry = {
+      content,
+      round,
+      ends,
+      quarantinedUntilMs: quarantinedUntilMs,
+      changedAtMs: end.atMs,
+      lastTerminations: lastTerminations,
+    };
     this.#put(entry);
     return entry;
   }
@@ -149,7 +167,14 @@
     const known = this.#entries.get(content);
     if (!known || known.ends === 0) return undefined;
     const round = known.round + 1;
-    const entry = { content, round, ends: 0, heldUntilMs: 0, changedAtMs: nowMs, lastEnds: [] };
+    const entry = {
+      content,
+      round,
+      ends: 0,
+      quarantinedUntilMs: 0,
+      changedAtMs: nowMs,
+      lastTerminations: [],
+    };
     this.#put(entry);
     return entry;
   }
@@ -175,7 +200,7 @@
   /** Forgets what lies so far back that it counts for nothing. */
   expire(nowMs: Milliseconds): void {
     for (const entry of [...this.#entries.values()]) {
-      const lastMs = isQuarantined(entry) ? entry.heldUntilMs : entry.changedAtMs;
+      const lastMs = isQuarantined(entry) ? entry.quarantinedUntilMs : entry.changedAtMs;
       if (nowMs - lastMs > REMEMBERED_MS) this.#remove(entry);
     }
   }
--- a/packages/fleet/src/read-in-parts.ts
+++ b/packages/fleet/src/read-in-parts.ts
@@ -4,7 +4,7 @@
 import type { EngineLoad } from './engine-load.js';
 import { foreseeFirstMs } from './foresee-first.js';
 import { harmOf } from './harm.js';
-import type { LatePromptRule, LateVerdict } from './late-prompts.js';
+import type { LatePromptPolicy, LateDecision } from './late-prompts.js';
 import { packedEngines } from './pack-short.js';
 import type { StreamPlan } from './stream-plan.js';
 import { leastLoss, MOST_PARTS } from './weigh-parts.js';
@@ -15,7 +15,7 @@
   return (left, right) => {
     const harm = harmOf(left, partMs) - harmOf(right, partMs);
     if (harm !== 0) return harm;
-    const reading = left.pendingReadMs - right.pendingReadMs;
+    const reading = left.pendingPrefillMs - right.pendingPrefillMs;
     return reading === 0 ? right.slackMs - left.slackMs : reading;
   };
 }
@@ -25,7 +25,7 @@
  * hold the first one up, and all other engines that read the same prompt with it.
  */
 function freeOfReads(engines: readonly EngineLoad[]): readonly EngineLoad[] {
-  return engines.filter((load) => load.pendingReadMs === 0);
+  return engines.filter((load) => load.pendingPrefillMs === 0);
 }
 
 /**
@@ -34,7 +34,7 @@
  */
 function isWorthWaiting({ engines, demand, readMs }: PartsInputs, now: Weighed): boolean {
   if (now.isInTime) return false;
-  const { waitedMs, aimMs, patienceMs } = demand;
+  const { waitedMs, aimMs, callerTimeoutMs: patienceMs } = demand;
   const foreseenMs = waitedMs + foreseeFirstMs(engines, readMs);
   if (foreseenMs <= aimMs) return true;
   return waitedMs + now.place.expectedFirstMs > patienceMs && foreseenMs <= patienceMs;
@@ -43,16 +43,16 @@
 /** Whether its caller leaves before the first event even if all engines were free at once. */
 function isTooLate({ engines, demand, readMs }: PartsInputs): boolean {
   const soonestMs = readMs / Math.min(MOST_PARTS, engines.length);
-  return demand.waitedMs + soonestMs > demand.patienceMs;
+  return demand.waitedMs + soonestMs > demand.callerTimeoutMs;
 }
 
-const TIMELY: LateVerdict = { kind: 'begin' };
+const TIMELY: LateDecision = { kind: 'begin' };
 
 /**
  * Splits a long prompt over engines so that the writers there and the prompt itself lose least
  * together, or has it wait for a better moment. `lateRule` decides about one that would be late.
  */
-export function readInParts(inputs: PartsInputs, lateRule: LatePromptRule): StreamPlan {
+export function readInParts(inputs: PartsInputs, lateRule: LatePromptPolicy): StreamPlan {
   const { engines, writers, figures, demand, readMs } = inputs;
   if (isTooLate(inputs)) return { kind: 'refuse', rule: 'caller_leaves_first' };
   const packed = new Set(packedEngines(engines, figures));
@@ -65,7 +65,7 @@
   const best = leastLoss(inputs, writer, [...apart, ...shared]);
   if (!best) return { kind: 'wait', rule: 'waits_for_memory' };
   if (isWorthWaiting(inputs, best)) return { kind: 'wait', rule: 'waits_for_reads' };
-  const verdict = best.isInTime ? TIMELY : lateRule.judge(engines, demand, readMs);
+  const verdict = best.isInTime ? TIMELY : lateRule.decide(engines, demand, readMs);
   if (verdict.kind !== 'begin') return verdict;
   const outlook = { expectedFirstMs: best.place.expectedFirstMs, isInTime: best.isInTime };
   const isAccepted = best.harm <= acceptedHarm(demand, outlook);
--- a/packages/fleet/src/resting-servers.test.ts
+++ b/packages/fleet/src/resting-servers.test.ts
@@ -1,7 +1,7 @@
 import { engineServer } from '@poppypond/mocks';
 import fastCheck from 'fast-check';
 import { describe, expect, it } from 'vitest';
-import { LONGEST_REST_MS, RestingServers } from './resting-servers.js';
+import { MAX_BACKOFF_MS, ServerBackoffs } from './resting-servers.js';
 
 const SERVER = engineServer('i-1');
 const atOnce = () => 0;
@@ -19,7 +19,7 @@
         ),
         fastCheck.nat(30_000),
         (words, lookMs) => {
-          const rests = new RestingServers(atOnce);
+          const rests = new ServerBackoffs(atOnce);
           let nowMs = 0;
           let untilMs = 0;
           for (const { afterMs, forMs } of words) {
@@ -28,26 +28,26 @@
             untilMs = Math.max(untilMs, nowMs + forMs);
           }
           const atMs = nowMs + lookMs;
-          expect(rests.mayTake(SERVER, atMs)).toBe(atMs >= untilMs);
+          expect(rests.canSend(SERVER, atMs)).toBe(atMs >= untilMs);
         },
       ),
     );
   });
 
   it('binds one life of one server', () => {
-    const rests = new RestingServers(atOnce);
+    const rests = new ServerBackoffs(atOnce);
     rests.begin(SERVER, 3000, 0);
-    expect(rests.mayTake(engineServer('i-2'), 10)).toBe(true);
-    expect(rests.mayTake({ ...SERVER, bornMs: 5 }, 10)).toBe(true);
-    expect(rests.mayTake(SERVER, 10)).toBe(false);
+    expect(rests.canSend(engineServer('i-2'), 10)).toBe(true);
+    expect(rests.canSend({ ...SERVER, startedAtMs: 5 }, 10)).toBe(true);
+    expect(rests.canSend(SERVER, 10)).toBe(false);
   });
 
   it('returns by steps: twice as many at once with each that is answered', () => {
-    const rests = new RestingServers(atOnce);
+    const rests = new ServerBackoffs(atOnce);
     rests.begin(SERVER, 3000, 0);
     const sendAll = (round: number) => {
       const sent: string[] = [];
-      while (sent.length < 100 && rests.mayTake(SERVER, 3000)) {
+      while (sent.length < 100 && rests.canSend(SERVER, 3000)) {
         const id = `${String(round)}-${String(sent.length)}`;
         rests.onSent(SERVER, id, 3000);
         sent.push(id);
@@ -64,32 +64,36 @@
   });
 
   it('begins at one again after another rest, and lets attempts without an answer go', () => {
-    const rests = new RestingServers(atOnce);
+    const rests = new ServerBackoffs(atOnce);
     rests.begin(SERVER, 1000, 0);
     rests.onSent(SERVER, 'a', 1000);
-    expect(rests.mayTake(SERVER, 1000)).toBe(false);
-    rests.onOver(SERVER, 'a');
-    expect(rests.mayTake(SERVER, 1000)).toBe(true);
+    expect(rests.canSend(SERVER, 1000)).toBe(false);
+    rests.onAttemptEnd(SERVER, 'a');
+    expect(rests.canSend(SERVER, 1000)).toBe(true);
     rests.onSent(SERVER, 'b', 1000);
     rests.onAnswered(SERVER, 'b');
     rests.begin(SERVER, 1000, 2000);
     rests.onSent(SERVER, 'c', 3000);
-    expect(rests.mayTake(SERVER, 3000)).toBe(false);
+    expect(rests.canSend(SERVER, 3000)).toBe(false);
   });
 
   it('lets two orders through while it rests, and tells each rest once', () => {
-    const rests = new RestingServers(atOnce);
-    expect(rests.begin(SERVER, 3000, 0).isNews).toBe(true);
-    expect(rests.begin(SERVER, 3000, 100).isNews).toBe(false);
-    expect([1, 2, 3].map(() => rests.tryOrder(SERVER, 200))).toEqual([true, true, false]);
-    expect(rests.tryOrder(SERVER, 3100)).toBe(true);
+    const rests = new ServerBackoffs(atOnce);
+    expect(rests.begin(SERVER, 3000, 0).isNew).toBe(true);
+    expect(rests.begin(SERVER, 3000, 100).isNew).toBe(false);
+    expect([1, 2, 3].map(() => rests.tryReservationCommand(SERVER, 200))).toEqual([
+      true,
+      true,
+      false,
+    ]);
+    expect(rests.tryReservationCommand(SERVER, 3100)).toBe(true);
   });
 
   it('tries a server that asked for absurdly long after its longest rest, and forgets old ones', () => {
-    const rests = new RestingServers(atOnce);
+    const rests = new ServerBackoffs(atOnce);
     rests.begin(SERVER, 1e12, 0);
-    expect(rests.leftMs(SERVER, 0)).toBe(LONGEST_REST_MS);
-    rests.begin(engineServer('i-2'), 100, LONGEST_REST_MS + 60_001);
+    expect(rests.leftMs(SERVER, 0)).toBe(MAX_BACKOFF_MS);
+    rests.begin(engineServer('i-2'), 100, MAX_BACKOFF_MS + 60_001);
     expect(rests.size).toBe(1);
   });
 });
--- a/packages/fleet/src/resting-servers.ts
+++ b/packages/fleet/src/resting-servers.ts
@@ -1,5 +1,5 @@
 import type { Milliseconds } from '@poppypond/core';
-import { isSameLife } from './backend-server.js';
+import { isSameIncarnation } from './backend-server.js';
 import type { BackendServer } from './backend-server.js';
 
 interface Rest {
@@ -14,20 +14,20 @@
 }
 
 /** What came of a word that a server wants rest. */
-export interface RestBegun {
+export interface StartedBackoff {
   /** Until when it is sent nothing, on this process's clock. */
   readonly untilMs: Milliseconds;
   /** False where it had asked for as much before. */
-  readonly isNews: boolean;
+  readonly isNew: boolean;
 }
 
 /**
  * A server that asks for longer is sent one request after this: a number in another unit, or the fault of a clock, must
  * not cost a server for a day.
  */
-export const LONGEST_REST_MS: Milliseconds = 600_000;
+export const MAX_BACKOFF_MS: Milliseconds = 600_000;
 /** A word that prolongs a rest by less is no news: many answers that say the same come over some milliseconds. */
-export const REST_NEWS_MS: Milliseconds = 500;
+export const BACKOFF_CHANGE_MS: Milliseconds = 500;
 /** Hosts that were asked for the same rest come back within this share of it, and not all at its end. */
 const RETURN_SPREAD_SHARE = 0.1;
 const LONGEST_RETURN_SPREAD_MS: Milliseconds = 500;
@@ -45,28 +45,29 @@
  * this host alone. After a rest it returns by steps: a server that is sent at once all that a host has turns it away
  * again.
  */
-export class RestingServers {
+export class ServerBackoffs {
   readonly #rests = new Map<string, Rest>();
 
   /** `draw`: uniform random numbers in [0, 1). */
-  constructor(readonly draw: () => number) {}
+  constructor(readonly random: () => number) {}
 
   get size(): number {
     return this.#rests.size;
   }
 
   /** The server wants nothing for `forMs` from now. Of several words the one that lasts longest holds. */
-  begin(server: BackendServer, forMs: Milliseconds, nowMs: Milliseconds): RestBegun {
+  begin(server: BackendServer, forMs: Milliseconds, nowMs: Milliseconds): StartedBackoff {
     this.#forgetLongOver(nowMs);
     const known = this.#find(server);
-    const spreadMs = Math.min(forMs * RETURN_SPREAD_SHARE, LONGEST_RETURN_SPREAD_MS) * this.draw();
-    const wantedMs = nowMs + Math.min(forMs, LONGEST_REST_MS) + spreadMs;
+    const spreadMs =
+      Math.min(forMs * RETURN_SPREAD_SHARE, LONGEST_RETURN_SPREAD_MS) * this.random();
+    const wantedMs = nowMs + Math.min(forMs, MAX_BACKOFF_MS) + spreadMs;
     const untilMs = Math.max(wantedMs, known?.untilMs ?? 0);
     const isResting = known !== undefined && known.untilMs > nowMs;
     const unanswered = known?.unanswered ?? new Set();
     const ordersLeft = isResting ? known.ordersLeft : ORDERS_IN_REST;
     this.#rests.set(server.id, { server, untilMs, most: FIRST_MOST, unanswered, ordersLeft });
-    return { untilMs, isNews: !isResting || untilMs - known.untilMs > REST_NEWS_MS };
+    return { untilMs, isNew: !isResting || untilMs - known.untilMs > BACKOFF_CHANGE_MS };
   }
 
   /** How long the server rests still; 0 where it does not. */
@@ -75,13 +76,13 @@
   }
 
   /** Whether one more request may be sent: it does not rest, nor is it returned to by steps that are taken. */
-  mayTake(server: BackendServer, nowMs: Milliseconds): boolean {
+  canSend(server: BackendServer, nowMs: Milliseconds): boolean {
     const rest = this.#find(server);
     return rest === undefined || (rest.untilMs <= nowMs && rest.unanswered.size < rest.most);
   }
 
   /** Whether it rests, or is returned to by steps and has not answered well enough yet. */
-  isDoubtful(server: BackendServer): boolean {
+  isRecovering(server: BackendServer): boolean {
     return this.#find(server) !== undefined;
   }
 
@@ -93,7 +94,7 @@
   }
 
   /** Whether an order may be sent now; counts it where the server rests. */
-  tryOrder(server: BackendServer, nowMs: Milliseconds): boolean {
+  tryReservationCommand(server: BackendServer, nowMs: Milliseconds): boolean {
     const rest = this.#find(server);
     if (!rest || rest.untilMs <= nowMs) return true;
     if (rest.ordersLeft === 0) return false;
@@ -111,7 +112,7 @@
   }
 
   /** The request is over, with an answer or without one. */
-  onOver(server: BackendServer, attemptId: string): void {
+  onAttemptEnd(server: BackendServer, attemptId: string): void {
     const rest = this.#take(server, attemptId);
     if (rest) this.#rests.set(server.id, rest);
   }
@@ -132,6 +133,6 @@
 
   #find(server: BackendServer): Rest | undefined {
     const rest = this.#rests.get(server.id);
-    return rest && isSameLife(rest.server, server) ? rest : undefined;
+    return rest && isSameIncarnation(rest.server, server) ? rest : undefined;
   }
 }
--- a/packages/fleet/src/server-limits.test.ts
+++ b/packages/fleet/src/server-limits.test.ts
@@ -3,7 +3,7 @@
 import type { BackendServer } from './backend-server.js';
 import { ServerLimits } from './server-limits.js';
 
-const SERVER: BackendServer = { ...engineServer('i-1'), bornMs: 1 };
+const SERVER: BackendServer = { ...engineServer('i-1'), startedAtMs: 1 };
 const NAMED = { kind: 'named', perSecond: 2 } as const;
 const NONE = { kind: 'none' } as const;
 
@@ -14,39 +14,41 @@
 describe('ServerLimits', () => {
   it('hold for as long as answers name them, and tell each change once', () => {
     const limits = new ServerLimits();
-    expect(limits.hear(SERVER, NONE, 0, 10)).toBeUndefined();
-    expect(limits.hear(SERVER, NAMED, 0, 20)).toBe('named');
-    expect(limits.hear(SERVER, NAMED, 0, 30)).toBeUndefined();
-    expect(limits.hear(SERVER, named(1.5), 0, 40)).toBe('changed');
+    expect(limits.applyNotice(SERVER, NONE, 0, 10)).toBeUndefined();
+    expect(limits.applyNotice(SERVER, NAMED, 0, 20)).toBe('named');
+    expect(limits.applyNotice(SERVER, NAMED, 0, 30)).toBeUndefined();
+    expect(limits.applyNotice(SERVER, named(1.5), 0, 40)).toBe('changed');
     expect(limits.rateOf(SERVER, 100_000)).toBe(1.5);
-    expect(limits.hear(SERVER, NONE, 50, 60)).toBe('over');
-    expect(limits.hear(SERVER, NONE, 50, 70)).toBeUndefined();
-    expect(limits.hear(SERVER, NAMED, 60, 80)).toBe('named');
+    expect(limits.applyNotice(SERVER, NONE, 50, 60)).toBe('over');
+    expect(limits.applyNotice(SERVER, NONE, 50, 70)).toBeUndefined();
+    expect(limits.applyNotice(SERVER, NAMED, 60, 80)).toBe('named');
   });
 
   it('are not ended by the answer to a request that was sent before they were named', () => {
     const limits = new ServerLimits();
-    limits.hear(SERVER, NAMED, 0, 100);
-    expect(limits.hear(SERVER, NONE, 90, 200)).toBeUndefined();
+    limits.applyNotice(SERVER, NAMED, 0, 100);
+    expect(limits.applyNotice(SERVER, NONE, 90, 200)).toBeUndefined();
     expect(limits.isLimited(SERVER, 200)).toBe(true);
   });
 
   it('stay as they are where a word can not be read', () => {
     const limits = new ServerLimits();
-    limits.hear(SERVER, NAMED, 0, 100);
-    expect(limits.hear(SERVER, { kind: 'unreadable', text: 'few' }, 150, 200)).toBeUndefined();
+    limits.applyNotice(SERVER, NAMED, 0, 100);
+    expect(
+      limits.applyNotice(SERVER, { kind: 'unreadable', text: 'few' }, 150, 200),
+    ).toBeUndefined();
     expect(limits.rateOf(SERVER, 200)).toBe(2);
   });
 
   it('are those of one life', () => {
     const limits = new ServerLimits();
-    limits.hear(SERVER, NAMED, 0, 100);
-    expect(limits.isLimited({ ...SERVER, bornMs: 2 }, 100)).toBe(false);
+    limits.applyNotice(SERVER, NAMED, 0, 100);
+    expect(limits.isLimited({ ...SERVER, startedAtMs: 2 }, 100)).toBe(false);
   });
 
   it('let a request through now and then where none is to be sent, to hear when they are over', () => {
     const limits = new ServerLimits();
-    limits.hear(SERVER, named(0), 0, 0);
+    limits.applyNotice(SERVER, named(0), 0, 0);
     const rate = limits.rateOf(SERVER, 0) ?? 0;
     expect(rate).toBeGreaterThan(0);
     expect(rate).toBeLessThan(0.2);
@@ -54,8 +56,8 @@
 
   it('are returned from by steps, within 5 s', () => {
     const limits = new ServerLimits();
-    limits.hear(SERVER, NAMED, 0, 0);
-    limits.hear(SERVER, NONE, 10, 1000);
+    limits.applyNotice(SERVER, NAMED, 0, 0);
+    limits.applyNotice(SERVER, NONE, 10, 1000);
     expect(limits.rateOf(SERVER, 1000)).toBe(2);
     expect(limits.rateOf(SERVER, 1600)).toBe(8);
     expect(limits.rateOf(SERVER, 6000)).toBeUndefined();
@@ -63,18 +65,20 @@
 
   it('are told by hosts, and the newer word holds whoever heard it', () => {
     const limits = new ServerLimits();
-    const told = { server: SERVER, perSecond: 3, isOver: false, saidAtMs: 100 };
-    expect(limits.hearTold(told, 110)).toBe('named');
-    expect(limits.hearTold({ ...told, perSecond: 9, saidAtMs: 50 }, 120)).toBeUndefined();
-    expect(limits.hearTold({ ...told, isOver: true, saidAtMs: 90 }, 120)).toBeUndefined();
-    expect(limits.hearTold({ ...told, isOver: true, saidAtMs: 200 }, 220)).toBe('over');
-    expect(limits.hearTold(told, 230)).toBeUndefined();
+    const told = { server: SERVER, perSecond: 3, isLifted: false, reportedAtMs: 100 };
+    expect(limits.mergePeerLimit(told, 110)).toBe('named');
+    expect(limits.mergePeerLimit({ ...told, perSecond: 9, reportedAtMs: 50 }, 120)).toBeUndefined();
+    expect(
+      limits.mergePeerLimit({ ...told, isLifted: true, reportedAtMs: 90 }, 120),
+    ).toBeUndefined();
+    expect(limits.mergePeerLimit({ ...told, isLifted: true, reportedAtMs: 200 }, 220)).toBe('over');
+    expect(limits.mergePeerLimit(told, 230)).toBeUndefined();
   });
 
   it('are forgotten some time after they are over', () => {
     const limits = new ServerLimits();
-    limits.hear(SERVER, NAMED, 0, 0);
-    limits.hear(SERVER, NONE, 10, 1000);
+    limits.applyNotice(SERVER, NAMED, 0, 0);
+    limits.applyNotice(SERVER, NONE, 10, 1000);
     expect(limits.all(2000)).toHaveLength(1);
     expect(limits.all(60_000)).toHaveLength(0);
   });
--- a/packages/fleet/src/server-limits.ts
+++ b/packages/fleet/src/server-limits.ts
@@ -1,9 +1,9 @@
 import type { Milliseconds } from '@poppypond/core';
-import { isSameLife } from './backend-server.js';
+import { isSameIncarnation } from './backend-server.js';
 import type { BackendServer } from './backend-server.js';
 
 /** What an answer says of the requests a second that its server takes from all hosts together. */
-export type LimitWord =
+export type LimitNotice =
   | { readonly kind: 'named'; readonly perSecond: number }
   | { readonly kind: 'none' }
   | { readonly kind: 'unreadable'; readonly text: string };
@@ -13,15 +13,15 @@
   readonly server: BackendServer;
   /** Requests a second from all hosts together; the last that it named where the limit is over. */
   readonly perSecond: number;
-  readonly isOver: boolean;
+  readonly isLifted: boolean;
   /** When it said so last, or first that the limit is over, on this process's clock. */
-  readonly saidAtMs: Milliseconds;
+  readonly reportedAtMs: Milliseconds;
   /** Since when this process knows it as it is. */
   readonly changedAtMs: Milliseconds;
 }
 
 /** A limit as another host knows it. */
-export type ToldLimit = Omit<ServerLimit, 'changedAtMs'>;
+export type PeerLimit = Omit<ServerLimit, 'changedAtMs'>;
 
 /** What came of a word: undefined where it tells nothing new. */
 export type LimitChange = 'named' | 'changed' | 'over' | undefined;
@@ -53,35 +53,35 @@
    * Takes in what an answer says, to a request of this host or another. `askedAtMs`: when that was sent; an answer
    * without the word may be older than one with it that came before.
    */
-  hear(
+  applyNotice(
     server: BackendServer,
-    word: LimitWord,
+    word: LimitNotice,
     askedAtMs: Milliseconds,
     saidAtMs: Milliseconds,
   ): LimitChange {
     const known = this.find(server);
     if (word.kind === 'named') return this.#name(server, word.perSecond, saidAtMs, saidAtMs);
-    if (word.kind === 'unreadable' || !known || known.isOver) return undefined;
-    return askedAtMs > known.saidAtMs ? this.#end(known, saidAtMs, saidAtMs) : undefined;
+    if (word.kind === 'unreadable' || !known || known.isLifted) return undefined;
+    return askedAtMs > known.reportedAtMs ? this.#end(known, saidAtMs, saidAtMs) : undefined;
   }
 
   /** Takes in what another host knows. */
-  hearTold(told: ToldLimit, nowMs: Milliseconds): LimitChange {
-    const { server, perSecond, isOver, saidAtMs } = told;
+  mergePeerLimit(told: PeerLimit, nowMs: Milliseconds): LimitChange {
+    const { server, perSecond, isLifted: isOver, reportedAtMs: saidAtMs } = told;
     const known = this.find(server);
     if (!isOver) return this.#name(server, perSecond, saidAtMs, nowMs);
-    if (!known || known.isOver || known.saidAtMs >= saidAtMs) return undefined;
+    if (!known || known.isLifted || known.reportedAtMs >= saidAtMs) return undefined;
     return this.#end(known, saidAtMs, nowMs);
   }
 
   /** What this life of a server said last; undefined where it has named no limit. */
   find(server: BackendServer): ServerLimit | undefined {
     const known = this.#limits.get(server.id);
-    return known && isSameLife(known.server, server) ? known : undefined;
+    return known && isSameIncarnation(known.server, server) ? known : undefined;
   }
 
   /** What the last life of a server that named one said last. */
-  ofId(serverId: string): ServerLimit | undefined {
+  findById(serverId: string): ServerLimit | undefined {
     return this.#limits.get(serverId);
   }
 
@@ -89,8 +89,8 @@
   rateOf(server: BackendServer, nowMs: Milliseconds): number | undefined {
     const known = this.find(server);
     if (!known) return undefined;
-    if (!known.isOver) return Math.max(LEAST_PER_SECOND, known.perSecond);
-    const sinceMs = nowMs - known.saidAtMs;
+    if (!known.isLifted) return Math.max(LEAST_PER_SECOND, known.perSecond);
+    const sinceMs = nowMs - known.reportedAtMs;
     if (sinceMs >= RETURN_MS) return undefined;
     return Math.max(RETURN_PER_SECOND, known.perSecond) * 2 ** (sinceMs / RETURN_DOUBLING_MS);
   }
@@ -102,7 +102,7 @@
 
   /** All that is known, those that are over included; what is over for long is forgotten. */
   all(nowMs: Milliseconds): readonly ServerLimit[] {
-    for (const [id, { isOver, saidAtMs }] of this.#limits) {
+    for (const [id, { isLifted: isOver, reportedAtMs: saidAtMs }] of this.#limits) {
       const knownForMs = isOver ? OVER_TOLD_MS : NAMED_KNOWN_MS;
       if (nowMs - saidAtMs > knownForMs) this.#limits.delete(id);
     }
@@ -121,16 +121,27 @@
     nowMs: Milliseconds,
   ): LimitChange {
     const known = this.find(server);
-    if (known && known.saidAtMs > saidAtMs) return undefined;
-    const isSame = known !== undefined && !known.isOver && known.perSecond === perSecond;
+    if (known && known.reportedAtMs > saidAtMs) return undefined;
+    const isSame = known !== undefined && !known.isLifted && known.perSecond === perSecond;
     const changedAtMs = isSame ? known.changedAtMs : nowMs;
-    this.#limits.set(server.id, { server, perSecond, isOver: false, saidAtMs, changedAtMs });
+    this.#limits.set(server.id, {
+      server,
+      perSecond,
+      isLifted: false,
+      reportedAtMs: saidAtMs,
+      changedAtMs,
+    });
     if (isSame) return undefined;
-    return known && !known.isOver ? 'changed' : 'named';
+    return known && !known.isLifted ? 'changed' : 'named';
   }
 
   #end(known: ServerLimit, saidAtMs: Milliseconds, nowMs: Milliseconds): LimitChange {
-    this.#limits.set(known.server.id, { ...known, isOver: true, saidAtMs, changedAtMs: nowMs });
+    this.#limits.set(known.server.id, {
+      ...known,
+      isLifted: true,
+      reportedAtMs: saidAtMs,
+      changedAtMs: nowMs,
+    });
     return 'over';
   }
 }
--- a/packages/fleet/src/share-memory.ts
+++ b/packages/fleet/src/share-memory.ts
@@ -13,8 +13,8 @@
 const ROUNDING_TOKENS = 64;
 
 /** Tokens that an engine can still take. */
-export function freeTokens(load: EngineLoad, figures: EngineFigures): number {
-  return Math.max(0, figures.memoryTokens - load.memoryTokens);
+export function freeMemoryTokens(load: EngineLoad, figures: EngineFigures): number {
+  return Math.max(0, figures.memoryTokens - load.usedMemoryTokens);
 }
 
 /**
@@ -27,13 +27,15 @@
   figures: EngineFigures,
   tokens: number,
 ): readonly MemoryShare[] | undefined {
-  const free = freeTokens(writer, figures);
+  const free = freeMemoryTokens(writer, figures);
   if (tokens <= free) return [];
   let left = tokens + ROUNDING_TOKENS - Math.floor(free * SHARE_OF_FREE);
   const shares: MemoryShare[] = [];
-  const byFree = [...readers].sort((a, b) => freeTokens(b, figures) - freeTokens(a, figures));
+  const byFree = [...readers].sort(
+    (a, b) => freeMemoryTokens(b, figures) - freeMemoryTokens(a, figures),
+  );
   for (const engine of byFree) {
-    const share = Math.min(left, Math.floor(freeTokens(engine, figures) * SHARE_OF_FREE));
+    const share = Math.min(left, Math.floor(freeMemoryTokens(engine, figures) * SHARE_OF_FREE));
     if (share <= 0) break;
     shares.push({ engine, tokens: share });
     left -= share;
--- a/packages/fleet/src/stream-plan.ts
+++ b/packages/fleet/src/stream-plan.ts
@@ -10,7 +10,7 @@
   /** Time since the request came. */
   readonly waitedMs: Milliseconds;
   /** Time from its coming after which its caller is taken to have left. */
-  readonly patienceMs: Milliseconds;
+  readonly callerTimeoutMs: Milliseconds;
   /** Whether an engine may have run a part of it already. */
   readonly isRepeated: boolean;
 }
@@ -66,7 +66,7 @@
   partMs: Milliseconds,
 ): StreamPlacement {
   const beforeMs = Math.max(
-    ...[writer, ...readers].map((load) => load.passMs + load.pendingReadMs),
+    ...[writer, ...readers].map((load) => load.passMs + load.pendingPrefillMs),
   );
   const expectedFirstMs = beforeMs + partMs + writer.passMs;
   return { kind: 'place', rule, writer, readers, partMs, shares: [], expectedFirstMs };
--- a/packages/fleet/src/turned-away.ts
+++ b/packages/fleet/src/turned-away.ts
@@ -10,17 +10,17 @@
  * deployments, one day each on equal seeds). Avoiding such servers for all requests gains more on that day and costs as
  * much where servers turn half of their requests away.
  */
-export class TurnedAway {
+export class RecentRejections {
   readonly #atMs = new Map<string, Milliseconds>();
 
   /** A server turned a request away. */
-  note(serverId: string, nowMs: Milliseconds): void {
+  record(serverId: string, nowMs: Milliseconds): void {
     this.#atMs.delete(serverId);
     this.#atMs.set(serverId, nowMs);
   }
 
   /** Those that did so lately. */
-  lately(nowMs: Milliseconds): readonly string[] {
+  recentIds(nowMs: Milliseconds): readonly string[] {
     for (const [id, atMs] of this.#atMs) {
       if (nowMs - atMs <= LATELY_MS) break;
       this.#atMs.delete(id);
--- a/packages/gateway/src/completions/admit.ts
+++ b/packages/gateway/src/completions/admit.ts
@@ -3,7 +3,7 @@
 import { chainBlocks, chainText } from '@poppypond/hashing';
 import { resolveTraffic } from '@poppypond/objects';
 import type { Configuration, Resolution } from '@poppypond/objects';
-import { checkAdmission, prefillAtOrAbove } from '@poppypond/policy';
+import { checkAdmission, prefillTokensAtOrAbove } from '@poppypond/policy';
 import type { AppliedBudget } from '@poppypond/policy';
 import { Result } from 'true-myth';
 import type { GatewayContext } from '../context.js';
@@ -122,7 +122,7 @@
   const states = open.map(({ state }) => state);
   const tokensPerMs = states.reduce((sum, state) => sum + state.prefillTokensPerMs, 0);
   const ahead = states.map(
-    (state) => prefillAtOrAbove(state, request.priority) / state.prefillTokensPerMs,
+    (state) => prefillTokensAtOrAbove(state, request.priority) / state.prefillTokensPerMs,
   );
   const queuedTokens = context.dispatcher.queuedTokensBefore({
     job: { ...request, outputTokens: 0, zone: '', cachedTokens: () => 0 },
@@ -134,7 +134,7 @@
     promptTokens: request.promptTokens,
     outputTokens: request.body.maxTokens - (request.headers.resume?.offset ?? 0),
     queuedTokens,
-    leastAheadMs: Math.min(...ahead),
+    minWorkAheadMs: Math.min(...ahead),
     laneTokensPerMs: tokensPerMs / context.hostCount(),
     engineTokensPerMs: tokensPerMs / states.length,
     stepMs: settings.decodeStepMs,
--- a/packages/gateway/src/completions/completion-run.test.ts
+++ b/packages/gateway/src/completions/completion-run.test.ts
@@ -3,7 +3,7 @@
 import type { Fault } from '@poppypond/core';
 import { FakeObjects, flushPromises, ManualClock } from '@poppypond/mocks';
 import { Configuration, parseObjects, resolveTraffic } from '@poppypond/objects';
-import { EngineLoad, RetryAllowance, ServerHealth, TokenCorrection } from '@poppypond/policy';
+import { EngineLoad, RetryBudget, ServerHealth, TokenCorrection } from '@poppypond/policy';
 import { DecisionLog } from '@poppypond/state';
 import { silentLog, silentMetrics } from '@poppypond/telemetry';
 import fc from 'fast-check';
@@ -160,7 +160,7 @@
       },
     },
     lanes: { cutOffText: 'none' },
-    retries: new RetryAllowance(0.1, 3),
+    retries: new RetryBudget(0.1, 3),
     quarantine: new HostQuarantine({
       clock,
       log: silentLog,
--- a/packages/gateway/src/completions/completion-run.ts
+++ b/packages/gateway/src/completions/completion-run.ts
@@ -210,20 +210,21 @@
         return 'finished';
       })
       .with({ kind: 'cancelled' }, () => {
-        health.onNeutralEnd();
+        health.onInconclusiveEnd();
         return fault('cancelled_running', '');
       })
       .with({ kind: 'time_limit' }, () => {
-        health.onNeutralEnd();
+        health.onInconclusiveEnd();
         return fault('time_limit', '', this.#ruleField());
       })
       .with({ kind: 'refused', reason: NO_MEMORY }, () => {
-        health.onNeutralEnd();
+        health.onInconclusiveEnd();
         this.#avoid.add(engine.name);
         return 'again';
       })
       .with({ kind: 'refused', reason: P.string }, ({ reason, restMs }) => {
-        if (restMs !== undefined) health.onRest(restMs, this.context.clock.monotonicMs());
+        if (restMs !== undefined)
+          health.onBackoffRequested(restMs, this.context.clock.monotonicMs());
         this.#onEngineFailure(engine);
         return this.#tryAgain(engine.name, reason);
       })
--- a/packages/gateway/src/completions/run-context.ts
+++ b/packages/gateway/src/completions/run-context.ts
@@ -3,7 +3,7 @@
 import type {
   Charge,
   EngineLoad,
-  RetryAllowance,
+  RetryBudget,
   ServerHealth,
   TokenCorrection,
 } from '@poppypond/policy';
@@ -38,7 +38,7 @@
   readonly usesLateBinding: boolean;
   readonly dispatcher: { place(request: PlaceRequest): Promise<Result<Placed, Fault>> };
   readonly lanes: { readonly cutOffText: string };
-  readonly retries: RetryAllowance;
+  readonly retries: RetryBudget;
   readonly quarantine: HostQuarantine;
   readonly correction: TokenCorrection;
   readonly runAttempt: AttemptRunner;
--- a/packages/gateway/src/configuration/configuration-sync.ts
+++ b/packages/gateway/src/configuration/configuration-sync.ts
@@ -62,7 +62,7 @@
 
   /** Monotonic time of the last answer from the table. */
   get storeContactAtMs(): Milliseconds | undefined {
-    return this.#reader.contactAtMs;
+    return this.#reader.lastResponseAtMs;
   }
 
   async start(): Promise<void> {
--- a/packages/gateway/src/engines/dispatcher.ts
+++ b/packages/gateway/src/engines/dispatcher.ts
@@ -1,7 +1,7 @@
 import { fault } from '@poppypond/core';
 import type { CancelTimer, Clock, Fault, Milliseconds } from '@poppypond/core';
 import { WaitQueue } from '@poppypond/policy';
-import type { EnginePassedOver, Placement, PlacementJob, RandomSource } from '@poppypond/policy';
+import type { RejectedEngine, Placement, PlacementJob, RandomSource } from '@poppypond/policy';
 import { Result } from 'true-myth';
 import type { OpenEngines } from './engine-directory.js';
 import type { PlacedEngine } from '../completions/run-context.js';
@@ -30,7 +30,7 @@
   readonly predictedStartMs: Milliseconds;
   readonly cachedTokens: number;
   readonly waitedMs: Milliseconds;
-  readonly passedOver: readonly EnginePassedOver[];
+  readonly passedOver: readonly RejectedEngine[];
 }
 
 interface Waiting {
@@ -140,7 +140,7 @@
       const expired = fault('wait_expired', waiting.lastWhy, { rule, retryAfterMs });
       waiting.settle(Result.err(expired));
     }
-    this.#queue.offer((waiting) => this.#tryStart(waiting));
+    this.#queue.startInOrder((waiting) => this.#tryStart(waiting));
     this.#scheduleExpiry();
   }
 
--- a/packages/gateway/src/engines/lane-tuner.ts
+++ b/packages/gateway/src/engines/lane-tuner.ts
@@ -1,5 +1,5 @@
 import type { Clock } from '@poppypond/core';
-import { chooseLaneSplit, laneOf, ONE_LANE, SizeHistogram } from '@poppypond/policy';
+import { chooseLaneSplit, laneOf, SINGLE_LANE, SizeHistogram } from '@poppypond/policy';
 import type { Lane, LaneSplit, PredictedStartPlacement } from '@poppypond/policy';
 import type { EngineDirectory } from './engine-directory.js';
 
@@ -12,7 +12,7 @@
 export class LaneTuner {
   readonly #sizes = new SizeHistogram();
   #use = 0;
-  #split: LaneSplit = ONE_LANE;
+  #split: LaneSplit = SINGLE_LANE;
 
   constructor(
     readonly directory: EngineDirectory,
@@ -51,7 +51,7 @@
     const busy = states.filter((state) => state.prefillTokens > 0).length;
     const use = states.length === 0 ? 0 : busy / states.length;
     this.#use += USE_SMOOTHING * (use - this.#use);
-    this.#sizes.fade(FADE);
+    this.#sizes.decay(FADE);
     if (!this.placement?.settings.useLanes) return;
     this.#split = chooseLaneSplit(this.#sizes.buckets(), this.#use);
     this.placement.split = this.#split;
--- a/packages/gateway/src/engines/watched-engine.ts
+++ b/packages/gateway/src/engines/watched-engine.ts
@@ -55,7 +55,7 @@
           if (parsed.success && !this.prefixes.apply(parsed.data)) this.#cacheFeed.restart();
         },
         onClosed: () => {
-          this.prefixes.drop();
+          this.prefixes.clear();
         },
       },
       clock,
@@ -80,7 +80,7 @@
       report !== undefined &&
       !report.isLeaving &&
       now - this.load.reportAtMs <= maxReportAgeMs &&
-      this.health.canTake(now)
+      this.health.isAvailable(now)
     );
   }
 
--- a/packages/gateway/src/explain/decision-copies.ts
+++ b/packages/gateway/src/explain/decision-copies.ts
@@ -21,10 +21,10 @@
 /** Copies new decisions to a peer until they are in the object store. */
 export function startDecisionCopies(mesh: PeerMesh, decisions: DecisionLog, clock: Clock): void {
   mesh.on(COPIES, copiesSchema, (from, body) => {
-    decisions.keepCopy(from.host, body.decisions);
+    decisions.storePeerDecisions(from.host, body.decisions);
   });
   clock.every(COPY_PERIOD_MS, () => {
-    const fresh = decisions.takeUncopied();
+    const fresh = decisions.takeUnreplicated();
     const holder = fresh.length > 0 ? chooseCopyHolder(mesh) : undefined;
     if (holder) mesh.send(holder.host, COPIES, { decisions: fresh });
   });
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -5,9 +5,9 @@
   DEFAULT_PREDICTED_START,
   LeastRequestsPlacement,
   LeastTokensPlacement,
-  ONE_LANE,
+  SINGLE_LANE,
   PredictedStartPlacement,
-  RetryAllowance,
+  RetryBudget,
   RoundRobinPlacement,
   TokenCorrection,
 } from '@poppypond/policy';
@@ -66,7 +66,7 @@
     .with('least-tokens', () => new LeastTokensPlacement())
     .with('predicted-start', () => {
       const chosen = { ...DEFAULT_PREDICTED_START, ...settings };
-      return new PredictedStartPlacement(chosen, ONE_LANE);
+      return new PredictedStartPlacement(chosen, SINGLE_LANE);
     })
     .exhaustive();
 }
@@ -150,7 +150,7 @@
     groupTurns: new Turns(),
     shares,
     correction: new TokenCorrection(),
-    retries: new RetryAllowance(settings.retryShare, settings.retryReserve),
+    retries: new RetryBudget(settings.retryShare, settings.retryReserve),
     quarantine: new HostQuarantine({ clock, log, metrics, host: settings.host }),
     decisions: new DecisionLog(settings.host, platform.objects, clock, settings.decisionRing),
     ledger: new AtMostOnceLedger(platform.table, clock, owner),
--- a/packages/gateway/src/groups/group-run.ts
+++ b/packages/gateway/src/groups/group-run.ts
@@ -171,7 +171,7 @@
     const end = await run.watchAttempt(attempt);
     part.engine.load.onEnd(dispatch);
     if (end.kind === 'refused' && end.restMs !== undefined) {
-      part.engine.health.onRest(end.restMs, context.clock.monotonicMs());
+      part.engine.health.onBackoffRequested(end.restMs, context.clock.monotonicMs());
     }
     if (end.kind === 'cut') await run.ends.onCut(part.engine.name, part.engineUrl);
     if (end.kind === 'time_limit') return fault('time_limit', '', { rule: request.rule });
--- a/packages/gateway/src/quarantine/host-quarantine.ts
+++ b/packages/gateway/src/quarantine/host-quarantine.ts
@@ -2,11 +2,11 @@
 import type { Clock, Fault, Milliseconds } from '@poppypond/core';
 import { FollowedRequest, isQuarantined, Quarantine } from '@poppypond/fleet';
 import type {
-  KnownEnds,
+  QuarantineRegistry,
   QuarantineEntry,
   RequestContent,
-  Standing,
-  Verdict,
+  TerminationHistory,
+  QuarantineVerdict,
 } from '@poppypond/fleet';
 import type { Log, Metrics } from '@poppypond/telemetry';
 import { askServerState } from '@poppypond/web';
@@ -33,7 +33,7 @@
  * that runs it is given to one engine after another for as long as the retry budget lasts, and again
  * whenever its caller comes back. Other hosts find out by themselves.
  */
-export class HostQuarantine implements KnownEnds {
+export class HostQuarantine implements QuarantineRegistry {
   readonly #quarantine = new Quarantine();
 
   constructor(readonly parts: HostQuarantineParts) {}
@@ -43,31 +43,31 @@
     return new RequestEnds(this, new FollowedRequest(this, request));
   }
 
-  mayKnow(hint: () => string): boolean {
-    return this.#quarantine.mayKnow(hint);
+  mayContain(hint: () => string): boolean {
+    return this.#quarantine.mayContain(hint);
   }
 
   find(content: string): QuarantineEntry | undefined {
     return this.#quarantine.find(content);
   }
 
-  standingOf(content: string): Standing {
-    return this.#quarantine.standingOf(content);
+  historyOf(content: string): TerminationHistory {
+    return this.#quarantine.historyOf(content);
   }
 
-  judge(content: string): Verdict {
+  judge(content: string): QuarantineVerdict {
     return this.#quarantine.judge(content, this.parts.clock.monotonicMs());
   }
 
-  heldForMs({ heldUntilMs }: QuarantineEntry): Milliseconds {
+  quarantinedForMs({ quarantinedUntilMs: heldUntilMs }: QuarantineEntry): Milliseconds {
     return Math.max(0, heldUntilMs - this.parts.clock.monotonicMs());
   }
 
-  onEnd(content: string, began: Standing, server: string): QuarantineEntry {
+  onTermination(content: string, began: TerminationHistory, server: string): QuarantineEntry {
     const { clock, log, metrics, host } = this.parts;
     const atMs = clock.monotonicMs();
     this.#quarantine.expire(atMs);
-    const entry = this.#quarantine.onEnd(content, began, { server, host, atMs });
+    const entry = this.#quarantine.onTermination(content, began, { server, host, atMs });
     log.warn('server_ended', { content, server, ends: entry.ends });
     if (isQuarantined(entry)) metrics.count('requests.quarantined', 1);
     return entry;
@@ -89,9 +89,9 @@
 
   /** Why it is not run now; undefined where it may be. */
   heldBecause(): Fault | undefined {
-    const held = this.followed.heldBy();
+    const held = this.followed.checkHold();
     if (!held) return undefined;
-    const servers = held.entry.lastEnds.map(({ server }) => server).join(', ');
+    const servers = held.entry.lastTerminations.map(({ server }) => server).join(', ');
     const detail = `servers ended under it: ${servers}`;
     return fault('quarantined', detail, { retryAfterMs: held.forMs });
   }
@@ -112,7 +112,7 @@
     const { clock, ask } = this.quarantine.parts;
     const place = placeOf(url);
     const state = await (ask ? ask(place) : askServerState(clock, place));
-    if (state !== 'listening') this.followed.onEnded(this.#attempt, server);
+    if (state !== 'listening') this.followed.onTerminated(this.#attempt, server);
   }
 
   get #attempt(): string {
--- a/packages/gateway/src/services/dispatch-call.ts
+++ b/packages/gateway/src/services/dispatch-call.ts
@@ -29,10 +29,10 @@
   nowMs: Milliseconds,
 ): void {
   const restMs = end.kind === 'unknown' ? undefined : end.restMs;
-  if (restMs !== undefined) health.onRest(restMs, nowMs);
+  if (restMs !== undefined) health.onBackoffRequested(restMs, nowMs);
   else if (end.kind === 'answered') health.onSuccess();
   if (end.kind === 'answered') return;
-  if (isAborted) health.onNeutralEnd();
+  if (isAborted) health.onInconclusiveEnd();
   else health.onFailure(nowMs);
 }
 
--- a/packages/gateway/src/services/service-directory.ts
+++ b/packages/gateway/src/services/service-directory.ts
@@ -66,7 +66,7 @@
     const open = [...this.#replicas.values()].filter(({ server, health, isLeaving }) => {
       const { name, spec } = server.object;
       const isWanted = spec.service === service && members.has(name) && !avoid.has(name);
-      return isWanted && !isLeaving && !this.#leaving.has(name) && health.canTake(now);
+      return isWanted && !isLeaving && !this.#leaving.has(name) && health.isAvailable(now);
     });
     const few = pickSome(open, CHOICES, this.random);
     return [...few].sort((a, b) => a.outstanding - b.outstanding)[0];
@@ -79,7 +79,7 @@
       .filter(
         ({ server: { object } }) => object.spec.service === service && members.has(object.name),
       )
-      .map(({ health }) => health.restLeftMs(now))
+      .map(({ health }) => health.remainingBackoffMs(now))
       .filter((leftMs) => leftMs > 0);
     return rests.length > 0 ? Math.min(...rests) : undefined;
   }
--- a/packages/gateway/src/shares/share-keeper.ts
+++ b/packages/gateway/src/shares/share-keeper.ts
@@ -2,8 +2,8 @@
 import type { Clock, Milliseconds, Owner } from '@poppypond/core';
 import { rendezvousOrder } from '@poppypond/hashing';
 import type { Member, PeerMessages } from '@poppypond/peer';
-import { Budgets, DemandRate, shareToAsk, shareToGive } from '@poppypond/policy';
-import type { AppliedBudget, ShareNeed } from '@poppypond/policy';
+import { Budgets, DemandRate, shareToRequest, shareToTransfer } from '@poppypond/policy';
+import type { AppliedBudget, ShareDemand } from '@poppypond/policy';
 import type { TableStore } from '@poppypond/state';
 import type { Log } from '@poppypond/telemetry';
 import {
@@ -137,10 +137,10 @@
     const held = this.#held.get(budgetId);
     if (!held) return;
     held.share = Math.min(1, held.share + share);
-    this.budgets.move(held.applied, units, this.clock.monotonicMs());
+    this.budgets.adjustUnits(held.applied, units, this.clock.monotonicMs());
   }
 
-  #needOf(held: Held): ShareNeed {
+  #needOf(held: Held): ShareDemand {
     const rate = held.demand.unitsPerSecond(this.clock.monotonicMs());
     return { share: held.share, demand: rate / held.applied.budget.unitsPerSecond };
   }
@@ -162,7 +162,7 @@
     for (let round = 0; round < ASK_ROUNDS; round += 1) {
       const before = held.share;
       const need = this.#needOf(held);
-      const wanted = shareToAsk(need, units, applied.budget.burstUnits);
+      const wanted = shareToRequest(need, units, applied.budget.burstUnits);
       if (wanted <= 0) return;
       this.mesh.broadcast(SHARE_ASK, { budgetId: applied.id, wanted, ...need });
       await delay(this.clock, ASK_WAIT_MS);
@@ -173,15 +173,15 @@
     held.quietUntilMs = this.clock.monotonicMs() + QUIET_MS;
   }
 
-  #onAsk(from: Member, ask: { budgetId: string; wanted: number } & ShareNeed): void {
+  #onAsk(from: Member, ask: { budgetId: string; wanted: number } & ShareDemand): void {
     const held = this.#held.get(ask.budgetId);
     if (!held || held.share <= 0) return;
-    const given = shareToGive(this.#needOf(held), ask, ask.wanted);
+    const given = shareToTransfer(this.#needOf(held), ask, ask.wanted);
     if (given <= 0) return;
     const now = this.clock.monotonicMs();
     const available = Math.max(0, this.budgets.available(held.applied, now));
     const units = (available * given) / held.share;
-    this.budgets.move(held.applied, -units, now);
+    this.budgets.adjustUnits(held.applied, -units, now);
     held.share -= given;
     this.budgets.onShareChanged(held.applied, now);
     const grant = {
--- a/packages/mocks/src/engines.ts
+++ b/packages/mocks/src/engines.ts
@@ -4,11 +4,11 @@
   memoryTokens: 450_000,
   stepsPerPass: 46,
   stepMs: 0.925,
-  stepMsPerWriter: 0.007,
+  stepMsPerSequence: 0.007,
   stepMsPerThousandTokens: 0.00254,
-  readTokensPerMs: 256,
-  readTokensPerStep: 2048,
-  readMsPerMillionPairs: 0.0917,
+  prefillTokensPerMs: 256,
+  prefillTokensPerStep: 2048,
+  prefillMsPerMillionPairs: 0.0917,
   usualAnswerTokens: 1540,
 } as const;
 
--- a/packages/mocks/src/memory-table.ts
+++ b/packages/mocks/src/memory-table.ts
@@ -3,7 +3,7 @@
   TableRow,
   TableStore,
   TableTransaction,
-  TransactResult,
+  TransactionResult,
 } from '@poppypond/state';
 import { Result } from 'true-myth';
 
@@ -24,7 +24,7 @@
   readonly rows = new Map<string, TableRow>();
   #version = 0;
 
-  apply(transaction: TableTransaction): TransactResult {
+  apply(transaction: TableTransaction): TransactionResult {
     const failed = (transaction.checks ?? []).filter(
       ({ key, version }) => (this.rows.get(key)?.version ?? 0) !== version,
     );
@@ -40,7 +40,7 @@
 
 /** Rows of a store that forgets to check: a planted fault that every checker must find. */
 export class UncheckedRows extends MemoryRows {
-  override apply(transaction: TableTransaction): TransactResult {
+  override apply(transaction: TableTransaction): TransactionResult {
     return super.apply({ ...transaction, checks: [] });
   }
 }
@@ -72,7 +72,7 @@
     return Result.ok(rows);
   }
 
-  async transact(transaction: TableTransaction): Promise<Result<TransactResult, StoreFault>> {
+  async transact(transaction: TableTransaction): Promise<Result<TransactionResult, StoreFault>> {
     const fate = this.fateOf(true);
     if (fate === 'down') return Result.err(UNAVAILABLE);
     if (fate === 'hang-then-lost') {
--- a/packages/policy/src/decisions.test.ts
+++ b/packages/policy/src/decisions.test.ts
@@ -1,11 +1,11 @@
 import { describe, expect, it } from 'vitest';
 import { EngineLoad } from './engine-load.js';
 import type { LoadReport } from './engine-load.js';
-import { RetryAllowance } from './health/retry-allowance.js';
+import { RetryBudget } from './health/retry-allowance.js';
 import { ServerHealth } from './health/server-health.js';
-import { chooseLaneSplit, laneOf, ONE_LANE, shortEngineCount } from './lanes/lanes.js';
+import { chooseLaneSplit, laneOf, SINGLE_LANE, shortEngineCount } from './lanes/lanes.js';
 import { SizeHistogram } from './lanes/size-histogram.js';
-import { shareToAsk, shareToGive } from './limits/share-split.js';
+import { shareToRequest, shareToTransfer } from './limits/share-split.js';
 import { PrefixIndex } from './prefix-index.js';
 import { checkAdmission } from './waiting/admission.js';
 
@@ -74,8 +74,8 @@
   it('keeps one lane where all requests are alike or few', () => {
     const sizes = new SizeHistogram();
     sizes.observe(1000);
-    expect(chooseLaneSplit(sizes.buckets(), 0.5)).toEqual(ONE_LANE);
-    expect(shortEngineCount(12, ONE_LANE)).toBe(0);
+    expect(chooseLaneSplit(sizes.buckets(), 0.5)).toEqual(SINGLE_LANE);
+    expect(shortEngineCount(12, SINGLE_LANE)).toBe(0);
   });
 });
 
@@ -87,13 +87,13 @@
       false,
       true,
     ]);
-    expect(health.canTake(100)).toBe(false);
-    expect(health.canTake(600)).toBe(true);
+    expect(health.isAvailable(100)).toBe(false);
+    expect(health.isAvailable(600)).toBe(true);
     health.onAttempt(600);
-    expect(health.canTake(600)).toBe(false);
+    expect(health.isAvailable(600)).toBe(false);
     health.onFailure(700);
-    expect(health.canTake(1600)).toBe(false);
-    expect(health.canTake(1800)).toBe(true);
+    expect(health.isAvailable(1600)).toBe(false);
+    expect(health.isAvailable(1800)).toBe(true);
     health.onAttempt(1800);
     health.onSuccess();
     expect(health.state(1800)).toBe('open');
@@ -102,7 +102,7 @@
 
 describe('RetryAllowance', () => {
   it('bounds retries to a share of first attempts', () => {
-    const allowance = new RetryAllowance(0.1, 3);
+    const allowance = new RetryBudget(0.1, 3);
     let retries = 0;
     for (let attempt = 0; attempt < 1000; attempt += 1) {
       allowance.onFirstAttempt();
@@ -149,9 +149,9 @@
 
 describe('shares', () => {
   it("gives an idle host's share away and splits fairly between two that need more", () => {
-    expect(shareToGive({ share: 0.4, demand: 0 }, { share: 0, demand: 1 }, 1)).toBeCloseTo(0.4);
-    expect(shareToGive({ share: 1, demand: 2 }, { share: 0, demand: 2 }, 1)).toBeCloseTo(0.5);
-    expect(shareToGive({ share: 0.2, demand: 0.2 }, { share: 0.2, demand: 0.2 }, 1)).toBe(0);
-    expect(shareToAsk({ share: 0.1, demand: 0 }, 600, 1000)).toBeCloseTo(0.65);
+    expect(shareToTransfer({ share: 0.4, demand: 0 }, { share: 0, demand: 1 }, 1)).toBeCloseTo(0.4);
+    expect(shareToTransfer({ share: 1, demand: 2 }, { share: 0, demand: 2 }, 1)).toBeCloseTo(0.5);
+    expect(shareToTransfer({ share: 0.2, demand: 0.2 }, { share: 0.2, demand: 0.2 }, 1)).toBe(0);
+    expect(shareToRequest({ share: 0.1, demand: 0 }, 600, 1000)).toBeCloseTo(0.65);
   });
 });
--- a/packages/policy/src/engine-load.ts
+++ b/packages/policy/src/engine-load.ts
@@ -106,7 +106,7 @@
   /** Notes work given to the engine; the number goes with the call and comes back in reports. */
   onDispatch(work: DispatchedWork, nowMs: Milliseconds): number {
     const state = this.state(nowMs);
-    const ahead = prefillAtOrAbove(state, work.priority) + work.prefillTokens;
+    const ahead = prefillTokensAtOrAbove(state, work.priority) + work.prefillTokens;
     this.#lastDispatch += 1;
     this.#outstanding.set(this.#lastDispatch, {
       ...work,
@@ -180,7 +180,7 @@
 }
 
 /** Prompt tokens that an engine does before new work of this priority. */
-export function prefillAtOrAbove(state: EngineState, priority: number): number {
+export function prefillTokensAtOrAbove(state: EngineState, priority: number): number {
   let tokens = 0;
   for (let level = priority; level < PRIORITY_COUNT; level += 1) {
     tokens += state.prefillByPriority[level] ?? 0;
--- a/packages/policy/src/health/retry-allowance.ts
+++ b/packages/policy/src/health/retry-allowance.ts
@@ -2,7 +2,7 @@
  * Bounds retries to a share of first attempts, so that retries never multiply an overload.
  * Each first attempt earns `share` of a retry; at most `reserve` are saved up.
  */
-export class RetryAllowance {
+export class RetryBudget {
   #saved: number;
 
   constructor(
--- a/packages/policy/src/health/server-health.test.ts
+++ b/packages/policy/src/health/server-health.test.ts
@@ -4,20 +4,20 @@
 describe('ServerHealth of a server that wants rest', () => {
   it('takes nothing until the rest is over, whatever is served meanwhile', () => {
     const health = new ServerHealth();
-    health.onRest(3000, 0);
-    health.onRest(1000, 100);
+    health.onBackoffRequested(3000, 0);
+    health.onBackoffRequested(1000, 100);
     health.onSuccess();
-    expect(health.canTake(2999)).toBe(false);
-    expect(health.restLeftMs(1000)).toBe(2000);
-    expect(health.canTake(3000)).toBe(true);
+    expect(health.isAvailable(2999)).toBe(false);
+    expect(health.remainingBackoffMs(1000)).toBe(2000);
+    expect(health.isAvailable(3000)).toBe(true);
   });
 
   it('takes one request at a time until one is served', () => {
     const health = new ServerHealth();
-    health.onRest(3000, 0);
+    health.onBackoffRequested(3000, 0);
     health.onAttempt(3000);
-    expect(health.canTake(3000)).toBe(false);
-    health.onNeutralEnd();
+    expect(health.isAvailable(3000)).toBe(false);
+    health.onInconclusiveEnd();
     health.onAttempt(3001);
     health.onSuccess();
     expect(health.state(3002)).toBe('open');
@@ -25,11 +25,11 @@
 
   it('rests again where the first request after a rest is turned away', () => {
     const health = new ServerHealth();
-    health.onRest(3000, 0);
+    health.onBackoffRequested(3000, 0);
     health.onAttempt(3000);
-    health.onRest(3000, 3001);
+    health.onBackoffRequested(3000, 3001);
     health.onFailure(3001);
-    expect(health.canTake(6000)).toBe(false);
-    expect(health.canTake(6001)).toBe(true);
+    expect(health.isAvailable(6000)).toBe(false);
+    expect(health.isAvailable(6001)).toBe(true);
   });
 });
--- a/packages/policy/src/health/server-health.ts
+++ b/packages/policy/src/health/server-health.ts
@@ -30,7 +30,7 @@
   }
 
   /** Whether a request may go there now. */
-  canTake(nowMs: Milliseconds): boolean {
+  isAvailable(nowMs: Milliseconds): boolean {
     const state = this.state(nowMs);
     return state === 'open' || (state === 'probing' && !this.#isProbeOut);
   }
@@ -39,14 +39,14 @@
    * The server itself wants nothing for `forMs`. What was sent before and is served meanwhile doesn't end the rest,
    * after which one request at a time goes there until one is served.
    */
-  onRest(forMs: Milliseconds, nowMs: Milliseconds): void {
+  onBackoffRequested(forMs: Milliseconds, nowMs: Milliseconds): void {
     this.#restUntilMs = Math.max(this.#restUntilMs, nowMs + Math.min(forMs, LONGEST_REST_MS));
     this.#isRestProved = false;
     this.#isProbeOut = false;
   }
 
   /** How long it rests still by its own word; 0 where it does not. */
-  restLeftMs(nowMs: Milliseconds): Milliseconds {
+  remainingBackoffMs(nowMs: Milliseconds): Milliseconds {
     return Math.max(0, this.#restUntilMs - nowMs);
   }
 
@@ -63,7 +63,7 @@
   }
 
   /** The attempt ended without saying anything about the server, e.g. it was cancelled. */
-  onNeutralEnd(): void {
+  onInconclusiveEnd(): void {
     this.#isProbeOut = false;
   }
 
--- a/packages/policy/src/lanes/lanes.ts
+++ b/packages/policy/src/lanes/lanes.ts
@@ -9,7 +9,7 @@
 }
 
 /** One lane for all. */
-export const ONE_LANE: LaneSplit = { cutOffTokens: Number.POSITIVE_INFINITY, shortShare: 1 };
+export const SINGLE_LANE: LaneSplit = { cutOffTokens: Number.POSITIVE_INFINITY, shortShare: 1 };
 
 /** The lane of a request. */
 export type Lane = 'short' | 'long';
@@ -61,9 +61,9 @@
  */
 export function chooseLaneSplit(buckets: readonly SizeBucket[], use: number): LaneSplit {
   const all = loadOf(buckets);
-  if (all.count < MIN_REQUESTS) return ONE_LANE;
+  if (all.count < MIN_REQUESTS) return SINGLE_LANE;
   const capacity = all.work / Math.max(JUDGED_USE, Math.min(MAX_USE - 0.01, use));
-  let best = ONE_LANE;
+  let best = SINGLE_LANE;
   let least = laneSlowdown(all, 1, capacity);
   for (let cut = 1; cut < buckets.length; cut += 1) {
     const short = loadOf(buckets.slice(0, cut));
--- a/packages/policy/src/lanes/size-histogram.ts
+++ b/packages/policy/src/lanes/size-histogram.ts
@@ -31,7 +31,7 @@
   }
 
   /** Multiplies all that was seen so far. */
-  fade(factor: number): void {
+  decay(factor: number): void {
     for (let bucket = 0; bucket < BUCKET_COUNT; bucket += 1) {
       this.#counts[bucket] = (this.#counts[bucket] ?? 0) * factor;
       this.#work[bucket] = (this.#work[bucket] ?? 0) * factor;
--- a/packages/policy/src/limits/budgets.test.ts
+++ b/packages/policy/src/limits/budgets.test.ts
@@ -15,7 +15,7 @@
 
 function fullBudgets(...applied: readonly AppliedBudget[]): Budgets {
   const budgets = new Budgets(() => 1);
-  for (const one of applied) budgets.move(one, one.budget.burstUnits, 0);
+  for (const one of applied) budgets.adjustUnits(one, one.budget.burstUnits, 0);
   return budgets;
 }
 
--- a/packages/policy/src/limits/budgets.ts
+++ b/packages/policy/src/limits/budgets.ts
@@ -86,7 +86,7 @@
    * Moves units into this host's bucket with a share that it has come to hold, or out of it
    * (negative). A bucket starts empty: units come only from here and from its own refill.
    */
-  move(applied: AppliedBudget, units: number, nowMs: Milliseconds): void {
+  adjustUnits(applied: AppliedBudget, units: number, nowMs: Milliseconds): void {
     this.#bucket(applied, nowMs).take(-units, nowMs);
   }
 }
--- a/packages/policy/src/placement/placement.ts
+++ b/packages/policy/src/placement/placement.ts
@@ -15,7 +15,7 @@
 }
 
 /** An engine that was not chosen, and why. */
-export interface EnginePassedOver {
+export interface RejectedEngine {
   readonly candidate: string;
   readonly why: string;
 }
@@ -27,7 +27,7 @@
       readonly engine: EngineState;
       readonly predictedStartMs: number;
       readonly cachedTokens: number;
-      readonly passedOver: readonly EnginePassedOver[];
+      readonly passedOver: readonly RejectedEngine[];
     }
   | { readonly kind: 'wait'; readonly why: string };
 
@@ -41,7 +41,7 @@
 }
 
 /** The tokens of KV memory that a request needs. */
-export function memoryNeeded(job: Pick<PlacementJob, 'promptTokens' | 'outputTokens'>): number {
+export function neededKvTokens(job: Pick<PlacementJob, 'promptTokens' | 'outputTokens'>): number {
   return job.promptTokens + job.outputTokens;
 }
 
--- a/packages/policy/src/placement/predicted-start.ts
+++ b/packages/policy/src/placement/predicted-start.ts
@@ -1,12 +1,12 @@
 import type { Milliseconds } from '@poppypond/core';
-import { prefillAtOrAbove } from '../engine-load.js';
+import { prefillTokensAtOrAbove } from '../engine-load.js';
 import type { EngineState } from '../engine-load.js';
 import { shortEngineCount } from '../lanes/lanes.js';
 import type { LaneSplit } from '../lanes/lanes.js';
 import { pickSome } from '../random-source.js';
 import type { RandomSource } from '../random-source.js';
-import { memoryNeeded, NO_ENGINE } from './placement.js';
-import type { EnginePassedOver, Placement, PlacementChoice, PlacementJob } from './placement.js';
+import { neededKvTokens, NO_ENGINE } from './placement.js';
+import type { RejectedEngine, Placement, PlacementChoice, PlacementJob } from './placement.js';
 
 /** What each mechanism of the placement is set to; each can be switched off. */
 export interface PredictedStartSettings {
@@ -92,8 +92,8 @@
     engines: readonly EngineState[],
     random: RandomSource,
   ): PlacementChoice {
-    const needed = memoryNeeded(job);
-    const passedOver: EnginePassedOver[] = [];
+    const needed = neededKvTokens(job);
+    const passedOver: RejectedEngine[] = [];
     const open: Scored[] = [];
     for (const engine of engines) {
       const free = engine.kvTokens * (1 - this.settings.memoryMargin) - engine.heldTokens;
@@ -115,7 +115,7 @@
     const cachedTokens = this.settings.useAffinity
       ? Math.min(job.promptTokens, job.cachedTokens(engine.id))
       : 0;
-    const aheadTokens = prefillAtOrAbove(engine, job.priority);
+    const aheadTokens = prefillTokensAtOrAbove(engine, job.priority);
     const aheadMs = aheadTokens / engine.prefillTokensPerMs;
     const ownMs = (job.promptTokens - cachedTokens) / engine.prefillTokensPerMs;
     const zoneMs = engine.zone === job.zone ? 0 : this.settings.otherZoneMs;
@@ -129,7 +129,7 @@
   /** The best of a few at random, and of those that the cache favours. */
   #best(
     open: readonly Scored[],
-    passedOver: readonly EnginePassedOver[],
+    passedOver: readonly RejectedEngine[],
     random: RandomSource,
   ): PlacementChoice {
     const cached = open.filter((scored) => scored.cachedTokens > 0);
--- a/packages/policy/src/prefix-index.ts
+++ b/packages/policy/src/prefix-index.ts
@@ -1,7 +1,7 @@
 import { BLOCK_TOKENS } from '@poppypond/hashing';
 
 /** A line of an engine's cache stream: a whole list, or a change. */
-export type CacheLine =
+export type CacheEvent =
   | { readonly sequence: number; readonly all: readonly string[] }
   | {
       readonly sequence: number;
@@ -22,14 +22,14 @@
   }
 
   /** Takes one line; false at a gap, after which the index is empty until the next whole list. */
-  apply(line: CacheLine): boolean {
+  apply(line: CacheEvent): boolean {
     if ('all' in line) {
       this.#blocks = new Set(line.all);
       this.#sequence = line.sequence;
       return true;
     }
     if (this.#sequence === undefined || line.sequence !== this.#sequence + 1) {
-      this.drop();
+      this.clear();
       return false;
     }
     this.#sequence = line.sequence;
@@ -38,7 +38,7 @@
     return true;
   }
 
-  drop(): void {
+  clear(): void {
     this.#blocks.clear();
     this.#sequence = undefined;
   }
--- a/packages/policy/src/waiting/wait-queue.test.ts
+++ b/packages/policy/src/waiting/wait-queue.test.ts
@@ -20,7 +20,7 @@
 
 function drain(queue: WaitQueue<string>, count = Number.POSITIVE_INFINITY): readonly string[] {
   const order: string[] = [];
-  queue.offer((item) => {
+  queue.startInOrder((item) => {
     if (order.length >= count) return false;
     order.push(item);
     return true;
@@ -41,7 +41,7 @@
     queue.enqueue(entry('review', { group: 'long', priority: 9 }));
     queue.enqueue(entry('balance'));
     const started: string[] = [];
-    queue.offer((item) => item === 'balance' && started.push(item) > 0);
+    queue.startInOrder((item) => item === 'balance' && started.push(item) > 0);
     expect(started).toEqual(['balance']);
     expect(queue.length).toBe(1);
   });
--- a/packages/policy/src/waiting/wait-queue.ts
+++ b/packages/policy/src/waiting/wait-queue.ts
@@ -141,7 +141,7 @@
    * group was not, the rest of its group is passed by, so that a long request that must wait
    * never holds up a short one.
    */
-  offer(tryStart: (item: Item) => boolean): void {
+  startInOrder(tryStart: (item: Item) => boolean): void {
     const blocked = new Set<string>();
     for (const entry of [...this.#entries]) {
       if (blocked.has(entry.group)) continue;
--- a/packages/relay/src/backend/life-aware-memory.test.ts
+++ b/packages/relay/src/backend/gated-engine-memory.test.ts
@@ -1,10 +1,10 @@
 import { engineServer } from '@poppypond/mocks';
 import { describe, expect, it } from 'vitest';
-import type { EngineMemory, ServerWord } from '../ports.js';
-import { LifeAwareMemory } from './life-aware-memory.js';
+import type { EngineMemory, ServerNotice } from '../ports.js';
+import { GatedEngineMemory } from './gated-engine-memory.js';
 
 const SERVER = engineServer('i-1');
-const WORD: ServerWord = { isLeaving: true, restMs: undefined };
+const WORD: ServerNotice = { isLeaving: true, backoffMs: undefined };
 
 /** An engine that answers all, and what it was sent; `restMs`: how long it rests, `orders` may be sent still. */
 function engine(restMs: number, orders: number) {
@@ -19,15 +19,15 @@
       sent.push('release');
       return Promise.resolve({ isAnswered: true, word: WORD });
     },
-    readWork: () => {
+    readStatus: () => {
       sent.push('question');
       return Promise.resolve({ running: 3, memoryTokens: 5, word: WORD });
     },
   };
   let left = orders;
   const words = {
-    onBirthTold: () => heard.push('birth'),
-    onWord: ({ id }: { readonly id: string }) => heard.push(`${id} speaks`),
+    onStartTime: () => heard.push('birth'),
+    onNotice: ({ id }: { readonly id: string }) => heard.push(`${id} speaks`),
   };
   const gate = {
     isLimited: () => false,
@@ -38,7 +38,7 @@
     },
     restLeftMs: () => restMs,
   };
-  return { sent, heard, guarded: new LifeAwareMemory(memory, words, gate) };
+  return { sent, heard, guarded: new GatedEngineMemory(memory, words, gate) };
 }
 
 describe('LifeAwareMemory', () => {
@@ -46,13 +46,13 @@
     const { heard, guarded } = engine(0, 9);
     await guarded.reserve(SERVER, 'm', 10, 2200);
     await guarded.release(SERVER, 'm');
-    await guarded.readWork(SERVER);
+    await guarded.readStatus(SERVER);
     expect(heard).toEqual(['birth', 'i-1 speaks', 'i-1 speaks', 'i-1 speaks']);
   });
 
   it('asks an engine that rests nothing, which counts as alive', async () => {
     const { sent, guarded } = engine(3000, 2);
-    expect(await guarded.readWork(SERVER)).toEqual({ running: 0, memoryTokens: 0 });
+    expect(await guarded.readStatus(SERVER)).toEqual({ running: 0, memoryTokens: 0 });
     expect(sent).toEqual([]);
   });
 
--- a/packages/relay/src/backend/life-aware-memory.ts
+++ b/packages/relay/src/backend/gated-engine-memory.ts
@@ -2,18 +2,18 @@
 import type { BackendServer } from '@poppypond/fleet';
 import type {
   EngineMemory,
-  EngineWork,
-  ReleaseAnswer,
-  ReserveAnswer,
-  ServerWord,
+  EngineStatus,
+  ReleaseResult,
+  ReserveResult,
+  ServerNotice,
 } from '../ports.js';
 
 /** Takes in what an engine tells of itself in answers to orders and in reports. */
 export interface EngineWords {
   /** The birth of the life that answered. */
-  onBirthTold(asked: BackendServer, bornMs: Milliseconds): void;
+  onStartTime(asked: BackendServer, bornMs: Milliseconds): void;
   /** Whether it leaves or wants rest. */
-  onWord(asked: BackendServer, word: ServerWord): void;
+  onNotice(asked: BackendServer, word: ServerNotice): void;
 }
 
 /** Whether an engine may be sent an order or a question now, by what it said itself. */
@@ -37,13 +37,13 @@
 }
 
 /** An engine that rests, or names a limit that is used up, is asked nothing; it answered a moment ago, and nothing more is known of it. */
-const NOT_ASKED: EngineWork = { running: 0, memoryTokens: 0 };
+const NOT_ASKED: EngineStatus = { running: 0, memoryTokens: 0 };
 
 /**
  * Engines' memory that passes on what engines tell of themselves: one that has started again answers as well as
  * before, while all that was held and ran there is gone. Engines that rest are sent no more than their gate allows.
  */
-export class LifeAwareMemory implements EngineMemory {
+export class GatedEngineMemory implements EngineMemory {
   constructor(
     readonly memory: EngineMemory,
     readonly words: EngineWords,
@@ -55,7 +55,7 @@
     id: string,
     tokens: number,
     holdMs: Milliseconds,
-  ): Promise<ReserveAnswer> {
+  ): Promise<ReserveResult> {
     if (!this.gate.tryOrder(server)) return { isHeld: false };
     // What a request uses there is held over the rest by one order.
     const restMs = this.gate.restLeftMs(server);
@@ -66,22 +66,22 @@
     return { ...answer, heldForMs };
   }
 
-  async release(server: BackendServer, id: string): Promise<ReleaseAnswer> {
+  async release(server: BackendServer, id: string): Promise<ReleaseResult> {
     if (!this.gate.tryOrder(server)) return { isAnswered: false };
     const answer = await this.memory.release(server, id);
     this.#tell(server, answer);
     return answer;
   }
 
-  async readWork(server: BackendServer): Promise<EngineWork | undefined> {
+  async readStatus(server: BackendServer): Promise<EngineStatus | undefined> {
     if (!(await this.gate.tryQuestion(server))) return NOT_ASKED;
-    const work = await this.memory.readWork(server);
+    const work = await this.memory.readStatus(server);
     if (work) this.#tell(server, work);
     return work;
   }
 
-  #tell(server: BackendServer, told: Pick<ReserveAnswer, 'bornMs' | 'word'>): void {
-    if (told.bornMs !== undefined) this.words.onBirthTold(server, told.bornMs);
-    if (told.word) this.words.onWord(server, told.word);
+  #tell(server: BackendServer, told: Pick<ReserveResult, 'startedAtMs' | 'word'>): void {
+    if (told.startedAtMs !== undefined) this.words.onStartTime(server, told.startedAtMs);
+    if (told.word) this.words.onNotice(server, told.word);
   }
 }
--- a/packages/relay/src/backend/held-memory.test.ts
+++ b/packages/relay/src/backend/held-memory.test.ts
@@ -16,7 +16,7 @@
       return Promise.resolve({ isHeld: true, ...(heldForMs === undefined ? {} : { heldForMs }) });
     },
     release: () => Promise.resolve({ isAnswered: true }),
-    readWork: () => Promise.resolve(isAlive ? { running: 1, memoryTokens: 1 } : undefined),
+    readStatus: () => Promise.resolve(isAlive ? { running: 1, memoryTokens: 1 } : undefined),
   };
   const held = await HeldMemory.take({ clock, log: silentLog, memory }, 'r1', {
     requestId: 'q1',
--- a/packages/relay/src/backend/held-memory.ts
+++ b/packages/relay/src/backend/held-memory.ts
@@ -93,7 +93,7 @@
   async #holdOn(): Promise<void> {
     const wasHeard = this.#isWriterHeard;
     if (wasHeard) void this.#reserveAll();
-    const work = await this.parts.memory.readWork(this.use.writer);
+    const work = await this.parts.memory.readStatus(this.use.writer);
     if (this.#isReleased) return;
     this.#isWriterHeard = work !== undefined;
     if (!work) this.use.onWriterLost(this.use.writer);
--- a/packages/relay/src/backend/server-attempt.ts
+++ b/packages/relay/src/backend/server-attempt.ts
@@ -3,7 +3,7 @@
 import { CONNECT_LIMIT_MS } from '@poppypond/web';
 import { request } from 'node:http';
 import type { ClientRequest, IncomingMessage } from 'node:http';
-import type { AnswerHead, HeaderPairs } from '../ports.js';
+import type { ResponseHead, HeaderPairs } from '../ports.js';
 import { EventFrames } from './event-frames.js';
 import type { EventFrame } from './event-frames.js';
 
@@ -27,20 +27,20 @@
  */
 export type AttemptEnd =
   | { readonly kind: 'not_sent'; readonly detail: string }
-  | { readonly kind: 'whole'; readonly head: AnswerHead; readonly body: Buffer }
-  | { readonly kind: 'events_done'; readonly head: AnswerHead }
+  | { readonly kind: 'whole'; readonly head: ResponseHead; readonly body: Buffer }
+  | { readonly kind: 'events_done'; readonly head: ResponseHead }
   | { readonly kind: 'broken'; readonly detail: string }
   | { readonly kind: 'cancelled' };
 
 /** Called while a stream runs; false stops reading until `resume`. */
-type FramesListener = (frames: readonly EventFrame[], head: AnswerHead) => boolean;
+type FramesListener = (frames: readonly EventFrame[], head: ResponseHead) => boolean;
 
 /** What an attempt needs besides its call. */
 export interface AttemptParts {
   readonly clock: Clock;
-  readonly readAnswer: (message: IncomingMessage) => AnswerHead;
+  readonly readAnswer: (message: IncomingMessage) => ResponseHead;
   /** The head of an answer of this server to this request has come, of whatever status. */
-  readonly onHead: (head: AnswerHead) => void;
+  readonly onHead: (head: ResponseHead) => void;
   readonly onFrames: FramesListener;
 }
 
@@ -167,7 +167,7 @@
     return response.complete && !this.#isReset;
   }
 
-  #readEvents(response: IncomingMessage, head: AnswerHead): void {
+  #readEvents(response: IncomingMessage, head: ResponseHead): void {
     const frames = new EventFrames();
     response.on('data', (chunk: Buffer) => {
       if (this.#isFinished) return;
@@ -181,7 +181,7 @@
     });
   }
 
-  #readWhole(response: IncomingMessage, head: AnswerHead): void {
+  #readWhole(response: IncomingMessage, head: ResponseHead): void {
     const chunks: Buffer[] = [];
     let bytes = 0;
     response.on('data', (chunk: Buffer) => {
--- a/packages/relay/src/compose.ts
+++ b/packages/relay/src/compose.ts
@@ -3,13 +3,13 @@
 import {
   FleetView,
   Quarantine,
-  RestingServers,
+  ServerBackoffs,
   RetryBudget,
   ServerLimits,
-  TurnedAway,
+  RecentRejections,
 } from '@poppypond/fleet';
 import type { BackendServer } from '@poppypond/fleet';
-import { ConfigurationInForce, Freshness } from '@poppypond/routing';
+import { ActiveConfiguration, Freshness } from '@poppypond/routing';
 import {
   BoundedOutput,
   createLog,
@@ -18,19 +18,19 @@
   writeStandardOutput,
 } from '@poppypond/telemetry';
 import type { Log } from '@poppypond/telemetry';
-import { LifeAwareMemory } from './backend/life-aware-memory.js';
-import { Permits } from './notices/permits.js';
+import { GatedEngineMemory } from './backend/gated-engine-memory.js';
+import { PermitClient } from './notices/permit-client.js';
 import { SendGate } from './notices/send-gate.js';
 import { ServerNotices } from './notices/server-notices.js';
-import { PauseWatch } from './pause-watch.js';
+import { PauseDetector } from './pause-detector.js';
 import type { PeerAddress } from './peers/peer-list.js';
 import { PeerMesh } from './peers/peer-mesh.js';
 import type { PeerSender } from './peers/peer-mesh.js';
-import { SharedKnowledge } from './peers/shared-knowledge.js';
+import { StoreSyncState } from './peers/store-sync-state.js';
 import { EarlierWork } from './planning/earlier-work.js';
-import { Placing } from './planning/placing.js';
+import { PlacementClient } from './planning/placement-client.js';
 import { Planner } from './planning/planner.js';
-import type { EngineMemory, PlatformPorts, ServerWord } from './ports.js';
+import type { EngineMemory, PlatformPorts, ServerNotice } from './ports.js';
 import { SharedQuarantine } from './quarantine/shared-quarantine.js';
 import type { RelayParts } from './request/relay-parts.js';
 import type { RelaySettings } from './settings.js';
@@ -49,18 +49,18 @@
   readonly output: BoundedOutput;
   readonly log: Log;
   readonly measures: Measures;
-  readonly inForce: ConfigurationInForce;
+  readonly inForce: ActiveConfiguration;
   readonly freshness: Freshness;
   readonly fleet: FleetView;
   readonly servers: ServerList;
   readonly memory: EngineMemory;
-  readonly knowledge: SharedKnowledge;
+  readonly knowledge: StoreSyncState;
   readonly limits: ServerLimits;
   readonly notices: ServerNotices;
   readonly gate: SendGate;
   readonly keyTrust: KeyTrust;
   readonly quarantine: SharedQuarantine;
-  readonly pauses: PauseWatch;
+  readonly pauses: PauseDetector;
 }
 
 /** A server that leaves is sent nothing this long before it must be sent nothing, for the way to it. */
@@ -82,36 +82,39 @@
   const log = createLog({ host }, logLevel, (line, level) => {
     output.line(line, level === 'info' || level === 'debug' ? 'ordinary' : 'important');
   });
-  const inForce = new ConfigurationInForce();
+  const inForce = new ActiveConfiguration();
   const freshness = new Freshness(clock);
   const servers = new ServerList(clock, log, settings.leavingWithinMs - LAST_RESORT_MARGIN_MS);
   const fleet = new FleetView();
   const limits = new ServerLimits();
-  servers.onNewLife(({ id }) => {
+  servers.onNewIncarnation(({ id }) => {
     fleet.forgetServer(id);
     limits.forget(id);
   });
   const measures = new Measures();
-  const rests = new RestingServers(draw);
+  const rests = new ServerBackoffs(draw);
   const notices = new ServerNotices({ clock, log, measures, host, servers, rests, limits });
-  const gate = new SendGate({ clock, servers, rests, limits, draw });
+  const gate = new SendGate({ clock, servers, rests, limits, random: draw });
   const words = {
-    onBirthTold: (asked: BackendServer, bornMs: Milliseconds) => {
+    onStartTime: (asked: BackendServer, bornMs: Milliseconds) => {
       servers.onBirthTold(asked, bornMs);
     },
-    onWord: (asked: BackendServer, word: ServerWord) => {
-      notices.hear(asked, word);
+    onNotice: (asked: BackendServer, word: ServerNotice) => {
+      notices.recordNotice(asked, word);
     },
   };
-  const memory = new LifeAwareMemory(ports.memory, words, gate);
-  const pauses = new PauseWatch(clock);
+  const memory = new GatedEngineMemory(ports.memory, words, gate);
+  const pauses = new PauseDetector(clock);
   pauses.onPause(() => {
     gate.onPause();
   });
-  const knowledge = new SharedKnowledge({ clock, inForce, freshness, list: servers });
+  const knowledge = new StoreSyncState({ clock, inForce, freshness, list: servers });
   const keyTrust = new KeyTrust(
     { clock, log, measures, inForce, freshness, knowledge },
-    { trustedMs: settings.keysTrustedMs - KEY_MARGIN_MS, needsProof: settings.keysNeedProof },
+    {
+      trustedMs: settings.keysTrustedMs - KEY_MARGIN_MS,
+      needsConfirmation: settings.keysNeedProof,
+    },
   );
   const quarantine = new SharedQuarantine({
     clock,
@@ -169,24 +172,24 @@
   base: RelayBase,
   sender: PeerSender,
   onGone: (host: string) => void,
-): { readonly peers: PeerMesh; readonly placing: Placing; readonly planner: Planner } {
+): { readonly peers: PeerMesh; readonly placing: PlacementClient; readonly planner: Planner } {
   const { clock, log, fleet, inForce, knowledge, limits, notices, quarantine } = base;
   const { incarnation, servers, memory, settings } = base;
   const { host } = settings;
-  const readWork = (server: BackendServer) => memory.readWork(server);
+  const readWork = (server: BackendServer) => memory.readStatus(server);
   const earlierWork = new EarlierWork({ clock, log, inForce, servers, fleet, readWork });
   const onPlanner = (service: string) => {
     earlierWork.learn(service);
   };
   const planner: Planner = new Planner({
     clock,
-    inForce,
+    activeConfiguration: inForce,
     servers,
     fleet,
-    draw,
+    random: draw,
     onPlanner,
     limits,
-    partOf: (service, isAlone) => peers.limitPart(service, isAlone),
+    limitPartOf: (service, isAlone) => peers.limitPart(service, isAlone),
   });
   const peers: PeerMesh = new PeerMesh({
     clock,
@@ -197,25 +200,34 @@
     planner,
     engineServices: () => inForce.table?.engineServices ?? [],
     onPlan: (attemptId, answer) => {
-      placing.hear(attemptId, answer);
+      placing.onPlanAnswer(attemptId, answer);
     },
-    knowledge,
+    syncState: knowledge,
     quarantine,
     notices,
     limits,
-    beatPeriodMs: beatPeriodMs(settings),
+    heartbeatPeriodMs: beatPeriodMs(settings),
     onGone,
   });
-  const placing = new Placing({ clock, log, host, peers, planner });
+  const placing = new PlacementClient({ clock, log, host, peers, planner });
   return { peers, placing, planner };
 }
 
 /** Makes what every request shares. */
-export function composeParts(base: RelayBase, peers: PeerMesh, placing: Placing): RelayParts {
+export function composeParts(
+  base: RelayBase,
+  peers: PeerMesh,
+  placing: PlacementClient,
+): RelayParts {
   const { clock, log, measures, inForce, freshness, keyTrust, quarantine } = base;
   const { fleet, servers, settings, pauses } = base;
-  const permits = new Permits({ clock, host: settings.host, placing, draw });
-  base.gate.askAt(permits);
+  const permits = new PermitClient({
+    clock,
+    host: settings.host,
+    placement: placing,
+    random: draw,
+  });
+  base.gate.setPermitSource(permits);
   const retryFigures = {
     ratio: settings.retryRatio,
     windowMs: settings.retryWindowSeconds * MS_PER_SECOND,
@@ -228,20 +240,20 @@
     measures,
     wire: base.ports.wire,
     memory: base.memory,
-    inForce,
+    activeConfiguration: inForce,
     freshness,
     keyTrust,
     quarantine,
-    pauses,
+    pauseDetector: pauses,
     notices: base.notices,
     gate: base.gate,
     permits,
-    turnedAway: new TurnedAway(),
+    recentRejections: new RecentRejections(),
     fleet,
     servers,
     peers,
-    placing,
+    placement: placing,
     budget: new RetryBudget(clock, retryFigures, () => peers.hostCount),
-    draw,
+    random: draw,
   };
 }
--- a/packages/relay/src/notices/limits-of-all-hosts.test.ts
+++ b/packages/relay/src/notices/limits-of-all-hosts.test.ts
@@ -1,6 +1,6 @@
 import { randomId } from '@poppypond/core';
 import type { Milliseconds } from '@poppypond/core';
-import { RestingServers } from '@poppypond/fleet';
+import { ServerBackoffs } from '@poppypond/fleet';
 import type { BackendServer } from '@poppypond/fleet';
 import { ENGINE_SERVICE, engineServer } from '@poppypond/mocks';
 import { describe, expect, it } from 'vitest';
@@ -37,12 +37,12 @@
     aimMs: AIM_MS,
     gapAimMs: 200,
     arrivedAtMs: nowMs,
-    silentSinceMs: nowMs,
-    limitAtMs: nowMs + 4000,
+    callerSilentSinceMs: nowMs,
+    deadlineAtMs: nowMs + 4000,
     isRepeated: false,
     avoidedIds: [],
     excludedIds: [],
-    waitsForLimitUntilMs: nowMs + AIM_MS / 2,
+    waitsForPermitUntilMs: nowMs + AIM_MS / 2,
   };
 }
 
@@ -106,9 +106,9 @@
     this.#turn += 1;
     const host = hosts[this.#turn % hosts.length];
     if (!host) return;
-    const { clock, placing, mesh } = host;
+    const { clock, placement: placing, mesh } = host;
     const request = requestOf(mesh.parts.self.host, clock.monotonicMs());
-    const placed = await placing.place(request, () => clock.monotonicMs() > request.limitAtMs);
+    const placed = await placing.place(request, () => clock.monotonicMs() > request.deadlineAtMs);
     const writerId = placed.kind === 'place' ? placed.stream.writerId : undefined;
     const server = this.engines.find(({ id }) => id === writerId);
     if (placed.kind !== 'place' || !server) return;
@@ -123,7 +123,7 @@
     const askedAtMs = clock.monotonicMs();
     this.network.clock.after(ANSWER_MS, () => {
       const limit = { kind: 'named', perSecond: PER_SECOND } as const;
-      notices.hear(server, { isLeaving: false, restMs: undefined, limit }, askedAtMs);
+      notices.recordNotice(server, { isLeaving: false, backoffMs: undefined, limit }, askedAtMs);
       mesh.end(attemptId, ENGINE_SERVICE);
     });
   }
@@ -133,7 +133,13 @@
     if (known) return known;
     const draw = () => 0.5;
     const { clock, limits, list: servers } = host;
-    const gate = new SendGate({ clock, servers, limits, rests: new RestingServers(draw), draw });
+    const gate = new SendGate({
+      clock,
+      servers,
+      limits,
+      rests: new ServerBackoffs(draw),
+      random: draw,
+    });
     this.#gates.set(host, gate);
     return gate;
   }
--- a/packages/relay/src/notices/permits.ts
+++ b/packages/relay/src/notices/permit-client.ts
@@ -1,7 +1,7 @@
 import { randomId } from '@poppypond/core';
 import type { Clock, Milliseconds } from '@poppypond/core';
 import type { BackendServer } from '@poppypond/fleet';
-import type { Placed } from '../planning/placing.js';
+import type { PlacementOutcome } from '../planning/placement-client.js';
 import type { PlanRequest } from '../planning/plan-request.js';
 
 /** Places of servers' limits that an attempt was given. */
@@ -13,18 +13,18 @@
 
 /** How permits are asked for. */
 export interface PermitPlacing {
-  place(request: PlanRequest, isOver: () => boolean): Promise<Placed>;
+  place(request: PlanRequest, isOver: () => boolean): Promise<PlacementOutcome>;
   /** Tells of a request without waiting for an answer. */
-  tell(request: PlanRequest): void;
+  notify(request: PlanRequest): void;
 }
 
 /** What asking for permits needs. */
 export interface PermitsParts {
   readonly clock: Clock;
   readonly host: string;
-  readonly placing: PermitPlacing;
+  readonly placement: PermitPlacing;
   /** Uniform random numbers in [0, 1). */
-  readonly draw: () => number;
+  readonly random: () => number;
 }
 
 /** A server without a place is asked for again after this at least: hosts must not all ask for the next one. */
@@ -34,7 +34,7 @@
 const ASK_LIMIT_MS: Milliseconds = 200;
 
 /** Asks the host that gives out places of limits for what is not planned: calls, orders and questions. */
-export class Permits {
+export class PermitClient {
   readonly #closedUntilMs = new Map<string, Milliseconds>();
 
   constructor(readonly parts: PermitsParts) {}
@@ -47,9 +47,9 @@
   /** Asks for one place of a server that is there now; undefined where there is none. */
   async tryTake(server: BackendServer): Promise<SendPermit | undefined> {
     if (!this.mayBeOpen(server)) return undefined;
-    const { clock, placing } = this.parts;
+    const { clock, placement: placing } = this.parts;
     const request = this.#requestFor(server, false);
-    const isOver = () => clock.monotonicMs() >= request.limitAtMs;
+    const isOver = () => clock.monotonicMs() >= request.deadlineAtMs;
     const placed = await placing.place(request, isOver);
     if (placed.kind === 'place') {
       return { serverIds: placed.stream.permittedIds, givenAtMs: clock.monotonicMs() };
@@ -60,11 +60,11 @@
 
   /** Has one place of a server counted that is used without being asked for. */
   noteUsed(server: BackendServer): void {
-    this.parts.placing.tell(this.#requestFor(server, true));
+    this.parts.placement.notify(this.#requestFor(server, true));
   }
 
   #close({ id }: BackendServer, nextMs: Milliseconds = LONGEST_CLOSED_MS): void {
-    const { clock, draw } = this.parts;
+    const { clock, random: draw } = this.parts;
     const forMs = Math.max(SHORTEST_CLOSED_MS, nextMs) * (1 + draw());
     const nowMs = clock.monotonicMs();
     for (const [other, untilMs] of this.#closedUntilMs) {
@@ -87,8 +87,8 @@
       priority: 0,
       ...none,
       arrivedAtMs: nowMs,
-      silentSinceMs: nowMs,
-      limitAtMs: nowMs + ASK_LIMIT_MS,
+      callerSilentSinceMs: nowMs,
+      deadlineAtMs: nowMs + ASK_LIMIT_MS,
       avoidedIds: [],
       excludedIds: [],
       permit: { serverIds: [id], isSent },
--- a/packages/relay/src/notices/send-gate.test.ts
+++ b/packages/relay/src/notices/send-gate.test.ts
@@ -1,9 +1,9 @@
-import { RestingServers, ServerLimits } from '@poppypond/fleet';
+import { ServerBackoffs, ServerLimits } from '@poppypond/fleet';
 import type { BackendServer } from '@poppypond/fleet';
 import { engineServer, ManualClock } from '@poppypond/mocks';
 import { Measures, silentLog } from '@poppypond/telemetry';
 import { describe, expect, it } from 'vitest';
-import type { ServerWord } from '../ports.js';
+import type { ServerNotice } from '../ports.js';
 import { ServerList } from '../store/server-list.js';
 import { SendGate } from './send-gate.js';
 import { ServerNotices } from './server-notices.js';
@@ -12,11 +12,11 @@
 const SERVERS = ['i-1', 'i-2', 'i-3'].map((id) => engineServer(id));
 const [ONE, TWO, THREE] = SERVERS;
 const SERVICE = ONE?.service ?? '';
-const LEAVES: ServerWord = { isLeaving: true, restMs: undefined };
+const LEAVES: ServerNotice = { isLeaving: true, backoffMs: undefined };
 const draw = () => 0;
 
-function restsFor(restMs: number): ServerWord {
-  return { isLeaving: false, restMs };
+function restsFor(restMs: number): ServerNotice {
+  return { isLeaving: false, backoffMs: restMs };
 }
 
 /** A host that knows three servers and nothing of them. */
@@ -24,11 +24,11 @@
   const clock = new ManualClock();
   const servers = new ServerList(clock, silentLog, SERVES_ON_MS);
   servers.replace(SERVERS, 0, 1);
-  const rests = new RestingServers(draw);
+  const rests = new ServerBackoffs(draw);
   const measures = new Measures();
   const shared = { clock, servers, rests, limits: new ServerLimits() };
   const notices = new ServerNotices({ ...shared, log: silentLog, measures, host: 'host-1' });
-  return { clock, servers, notices, gate: new SendGate({ ...shared, draw }) };
+  return { clock, servers, notices, gate: new SendGate({ ...shared, random: draw }) };
 }
 
 function take(gate: SendGate, server: BackendServer | undefined, readers: BackendServer[] = []) {
@@ -36,8 +36,8 @@
   return gate.tryTake({ attemptId: `to-${server.id}`, server, readers })?.why;
 }
 
-function hear(notices: ServerNotices, server: BackendServer | undefined, word: ServerWord) {
-  if (server) notices.hear(server, word);
+function hear(notices: ServerNotices, server: BackendServer | undefined, word: ServerNotice) {
+  if (server) notices.recordNotice(server, word);
 }
 
 describe('SendGate', () => {
@@ -54,9 +54,10 @@
 
   it('takes what one says of a life that is over for nothing', () => {
     const { gate, notices, servers } = gateOfHost();
-    const born = SERVERS.map((server) => ({ ...server, bornMs: 2000 }));
+    const born = SERVERS.map((server) => ({ ...server, startedAtMs: 2000 }));
     servers.replace(born, 0, 2);
-    if (ONE) notices.hear({ ...ONE, bornMs: 1000 }, { isLeaving: true, restMs: 3000 });
+    if (ONE)
+      notices.recordNotice({ ...ONE, startedAtMs: 1000 }, { isLeaving: true, backoffMs: 3000 });
     expect(take(gate, born[0])).toBeUndefined();
   });
 
@@ -99,7 +100,7 @@
   it('lets nothing to a server that names a limit without a place that was given, and is still good', async () => {
     const { clock, gate, notices } = gateOfHost();
     const limit = { kind: 'named', perSecond: 2 } as const;
-    hear(notices, ONE, { isLeaving: false, restMs: undefined, limit });
+    hear(notices, ONE, { isLeaving: false, backoffMs: undefined, limit });
     expect(take(gate, ONE)).toBe('limited');
     expect(take(gate, TWO, ONE ? [ONE] : [])).toBe('limited');
     expect(take(gate, TWO)).toBeUndefined();
@@ -116,7 +117,7 @@
     const { gate, notices } = gateOfHost();
     const used: string[] = [];
     let places = 1;
-    gate.askAt({
+    gate.setPermitSource({
       tryTake: ({ id }) => {
         places -= 1;
         return Promise.resolve(places >= 0 ? { serverIds: [id], givenAtMs: 0 } : undefined);
@@ -124,7 +125,7 @@
       noteUsed: ({ id }) => used.push(id),
     });
     const limit = { kind: 'named', perSecond: 2 } as const;
-    hear(notices, ONE, { isLeaving: false, restMs: undefined, limit });
+    hear(notices, ONE, { isLeaving: false, backoffMs: undefined, limit });
     expect(ONE && (await gate.tryQuestion(ONE))).toBe(true);
     expect(ONE && (await gate.tryQuestion(ONE))).toBe(false);
     expect(ONE && gate.tryOrder(ONE)).toBe(true);
--- a/packages/relay/src/notices/send-gate.ts
+++ b/packages/relay/src/notices/send-gate.ts
@@ -1,16 +1,16 @@
 import type { Clock, Milliseconds } from '@poppypond/core';
-import type { BackendServer, RestingServers, ServerLimits } from '@poppypond/fleet';
+import type { BackendServer, ServerBackoffs, ServerLimits } from '@poppypond/fleet';
 import type { ServerList } from '../store/server-list.js';
-import type { SendPermit } from './permits.js';
+import type { SendPermit } from './permit-client.js';
 
 /** What the gate needs. */
 export interface SendGateParts {
   readonly clock: Clock;
   readonly servers: ServerList;
-  readonly rests: RestingServers;
+  readonly rests: ServerBackoffs;
   readonly limits: ServerLimits;
   /** Uniform random numbers in [0, 1). */
-  readonly draw: () => number;
+  readonly random: () => number;
 }
 
 /** Why a server may be sent nothing now. */
@@ -71,7 +71,7 @@
 
   /** Whether a server may rest, or want rest again as it is returned to. */
   isDoubtful(server: BackendServer): boolean {
-    return this.parts.rests.isDoubtful(server);
+    return this.parts.rests.isRecovering(server);
   }
 
   /** Ids of listed servers of a service that may be sent nothing now; for planners, which were told other things. */
@@ -100,7 +100,7 @@
 
   /** When a caller may come back that is refused for want of a server that may be sent its request. */
   comeBackMs(nextMs: Milliseconds): Milliseconds {
-    return nextMs + this.parts.draw() * CALLERS_SPREAD_MS;
+    return nextMs + this.parts.random() * CALLERS_SPREAD_MS;
   }
 
   /**
@@ -125,11 +125,11 @@
 
   /** An attempt is over. */
   onOver(server: BackendServer, attemptId: string): void {
-    this.parts.rests.onOver(server, attemptId);
+    this.parts.rests.onAttemptEnd(server, attemptId);
   }
 
   /** Places of limits are asked for at `permits`. */
-  askAt(permits: PermitSource): void {
+  setPermitSource(permits: PermitSource): void {
     this.#permits = permits;
   }
 
@@ -155,7 +155,7 @@
    */
   tryOrder(server: BackendServer): boolean {
     const { clock, rests } = this.parts;
-    if (!rests.tryOrder(server, clock.monotonicMs())) return false;
+    if (!rests.tryReservationCommand(server, clock.monotonicMs())) return false;
     if (this.isLimited(server)) this.#permits.noteUsed(server);
     return true;
   }
@@ -175,7 +175,7 @@
   #awake(servers: readonly BackendServer[]): readonly BackendServer[] {
     const { clock, rests } = this.parts;
     const nowMs = clock.monotonicMs();
-    return servers.filter((server) => rests.mayTake(server, nowMs));
+    return servers.filter((server) => rests.canSend(server, nowMs));
   }
 
   /** What a server gets from all hosts is counted where places are given, so nothing goes there without one. */
@@ -191,7 +191,7 @@
   #blockOf(server: BackendServer, takes: boolean): SendBlock | undefined {
     const { clock, rests, servers } = this.parts;
     const nowMs = clock.monotonicMs();
-    const isResting = takes ? !rests.mayTake(server, nowMs) : rests.leftMs(server, nowMs) > 0;
+    const isResting = takes ? !rests.canSend(server, nowMs) : rests.leftMs(server, nowMs) > 0;
     if (isResting) return 'rests';
     const { service } = server;
     if (servers.isLeaving(server)) {
--- a/packages/relay/src/notices/server-notices.ts
+++ b/packages/relay/src/notices/server-notices.ts
@@ -1,16 +1,16 @@
 import type { Clock, Milliseconds } from '@poppypond/core';
-import { REST_NEWS_MS } from '@poppypond/fleet';
+import { BACKOFF_CHANGE_MS } from '@poppypond/fleet';
 import type {
   BackendServer,
   LimitChange,
-  LimitWord,
-  RestingServers,
+  LimitNotice,
+  ServerBackoffs,
   ServerLimit,
   ServerLimits,
-  ToldLimit,
+  PeerLimit,
 } from '@poppypond/fleet';
 import type { Log, Measures } from '@poppypond/telemetry';
-import type { ServerWord } from '../ports.js';
+import type { ServerNotice } from '../ports.js';
 import type { ServerList } from '../store/server-list.js';
 
 /** What the notices need. */
@@ -21,7 +21,7 @@
   /** Names this host. */
   readonly host: string;
   readonly servers: ServerList;
-  readonly rests: RestingServers;
+  readonly rests: ServerBackoffs;
   readonly limits: ServerLimits;
 }
 
@@ -53,9 +53,9 @@
   }
 
   /** Takes in what the server that was asked as `server` has said in an answer; `askedAtMs`: when it was asked. */
-  hear(
+  recordNotice(
     server: BackendServer,
-    { isLeaving, restMs, limit }: ServerWord,
+    { isLeaving, backoffMs: restMs, limit }: ServerNotice,
     askedAtMs: Milliseconds = this.parts.clock.monotonicMs(),
   ): void {
     if (isLeaving) this.#hearItself(server);
@@ -64,15 +64,15 @@
   }
 
   /** A host has told what a server said of a limit; false where that is nothing new. */
-  hearLimitTold(told: ToldLimit, toldBy: string): boolean {
+  recordPeerLimit(told: PeerLimit, toldBy: string): boolean {
     const { clock, limits } = this.parts;
     const before = limits.find(told.server);
-    const change = limits.hearTold(told, clock.monotonicMs());
+    const change = limits.mergePeerLimit(told, clock.monotonicMs());
     return this.#noteLimit(told.server, change, before, toldBy);
   }
 
   /** The server told `toldBy` at `saidAtMs`, on this process's clock, that it leaves; false where that was known. */
-  hearLeaving(server: BackendServer, saidAtMs: Milliseconds, toldBy: string): boolean {
+  recordLeaving(server: BackendServer, saidAtMs: Milliseconds, toldBy: string): boolean {
     const { log, measures, servers } = this.parts;
     const listed = servers.stateOf(server);
     if (!servers.onLeaving(server, saidAtMs)) return false;
@@ -80,7 +80,7 @@
     log.warn('server_leaving', {
       server: server.id,
       service: server.service,
-      born_ms: server.bornMs,
+      born_ms: server.startedAtMs,
       told_by: toldBy,
       listed,
       list_age_ms: Math.round(servers.freshness.ageMs()),
@@ -90,17 +90,17 @@
 
   #hearItself(server: BackendServer): void {
     const nowMs = this.parts.clock.monotonicMs();
-    if (this.hearLeaving(server, nowMs, this.parts.host)) this.#onLeaving(server, nowMs);
+    if (this.recordLeaving(server, nowMs, this.parts.host)) this.#onLeaving(server, nowMs);
   }
 
-  #hearLimit(server: BackendServer, word: LimitWord, askedAtMs: Milliseconds): void {
+  #hearLimit(server: BackendServer, word: LimitNotice, askedAtMs: Milliseconds): void {
     const { clock, host, limits } = this.parts;
     if (word.kind === 'unreadable') {
       this.#noteUnreadable(server, word.text);
       return;
     }
     const before = limits.find(server);
-    const change = limits.hear(server, word, askedAtMs, clock.monotonicMs());
+    const change = limits.applyNotice(server, word, askedAtMs, clock.monotonicMs());
     if (!this.#noteLimit(server, change, before, host)) return;
     const now = limits.find(server);
     if (now) this.#onLimit(now);
@@ -120,8 +120,8 @@
       service: server.service,
       change,
       per_second: limits.find(server)?.perSecond,
-      before_per_second: before && !before.isOver ? before.perSecond : undefined,
-      born_ms: server.bornMs,
+      before_per_second: before && !before.isLifted ? before.perSecond : undefined,
+      born_ms: server.startedAtMs,
       told_by: toldBy,
       list_age_ms: Math.round(servers.freshness.ageMs()),
     });
@@ -139,7 +139,7 @@
   #hearRest(server: BackendServer, restMs: Milliseconds): void {
     const { clock, log, measures, rests } = this.parts;
     const nowMs = clock.monotonicMs();
-    const { untilMs, isNews } = rests.begin(server, restMs, nowMs);
+    const { untilMs, isNew: isNews } = rests.begin(server, restMs, nowMs);
     if (!isNews) return;
     const forMs = untilMs - nowMs;
     measures.count('poppypond_server_words_total', { word: 'rest' });
@@ -161,7 +161,7 @@
       const leftMs = rests.leftMs(server, nowMs);
       const afterMs = Math.round(nowMs - sinceMs);
       if (leftMs === 0) log.info('server_rest_over', { server: server.id, after_ms: afterMs });
-      else if (leftMs <= REST_NEWS_MS) this.#logWhenOver(server, sinceMs, leftMs);
+      else if (leftMs <= BACKOFF_CHANGE_MS) this.#logWhenOver(server, sinceMs, leftMs);
     });
   }
 }
--- a/packages/relay/src/pause-watch.ts
+++ b/packages/relay/src/pause-detector.ts
@@ -15,7 +15,7 @@
  * and nothing that was told meanwhile has reached it. To be asked before anything that comes from outside is
  * taken in, as a timer may be later than that.
  */
-export class PauseWatch {
+export class PauseDetector {
   #seenAtMs: Milliseconds;
   readonly #listeners: PauseListener[] = [];
 
@@ -32,12 +32,12 @@
   start(): CancelTimer {
     this.#seenAtMs = this.clock.monotonicMs();
     return this.clock.every(LOOK_PERIOD_MS, () => {
-      this.look();
+      this.check();
     });
   }
 
   /** Looks now. */
-  look(): void {
+  check(): void {
     const nowMs = this.clock.monotonicMs();
     const pausedMs = nowMs - this.#seenAtMs;
     this.#seenAtMs = nowMs;
--- a/packages/relay/src/peers/attempt-news.ts
+++ b/packages/relay/src/peers/attempt-news.ts
@@ -7,7 +7,7 @@
 import { toWireServer } from './list-on-the-wire.js';
 import type { PeerMessage } from './peer-messages.js';
 import type { WireAsk } from './plan-messages.js';
-import type { SharedKnowledge } from './shared-knowledge.js';
+import type { StoreSyncState } from './store-sync-state.js';
 import { fromWireAsk, toWireAnswer, toWireAsk, toWireUse } from './work-on-the-wire.js';
 
 /** What the exchange needs. */
@@ -16,7 +16,7 @@
   readonly host: string;
   readonly fleet: FleetView;
   readonly planner: Planner;
-  readonly knowledge: SharedKnowledge;
+  readonly knowledge: StoreSyncState;
   readonly limitNews: LimitNews;
   /** Services of engines that this host may have to plan for or ask for plans. */
   readonly engineServices: () => readonly string[];
@@ -70,7 +70,7 @@
 
   /** The first event of an attempt has come. `service`: undefined where planners need not know. */
   onReadDone(attemptId: string, service: string | undefined): void {
-    this.parts.fleet.onReadDone(attemptId);
+    this.parts.fleet.onPrefillDone(attemptId);
     this.#tellPlanners(service, { kind: 'read', ...this.parts.selfFields(), attempt: attemptId });
   }
 
--- a/packages/relay/src/peers/beats.ts
+++ b/packages/relay/src/peers/beats.ts
@@ -7,7 +7,7 @@
 import type { PeerAddress } from './peer-list.js';
 import type { Beat } from './peer-messages.js';
 import type { QuarantineNews } from './quarantine-news.js';
-import type { SharedKnowledge } from './shared-knowledge.js';
+import type { StoreSyncState } from './store-sync-state.js';
 import { fromWireUse } from './work-on-the-wire.js';
 
 /** Silent hosts that each of the first hosts greets in a period, each in its turn. */
@@ -18,7 +18,7 @@
   readonly self: PeerAddress & { readonly incarnation: string };
   readonly fleet: FleetView;
   readonly planner: Planner;
-  readonly knowledge: SharedKnowledge;
+  readonly knowledge: StoreSyncState;
   readonly quarantineNews: QuarantineNews;
   readonly limitNews: LimitNews;
   /** How many services of engines there are. */
--- a/packages/relay/src/peers/heartbeat.ts
+++ b/packages/relay/src/peers/heartbeat.ts
@@ -3,14 +3,14 @@
 import type { Peer, PeerAddress } from './peer-list.js';
 import type { Beat, WireQuarantine } from './peer-messages.js';
 import type { WireLimit } from './plan-messages.js';
-import type { DatedWord, SharedKnowledge } from './shared-knowledge.js';
+import type { DatedStoreVersions, StoreSyncState } from './store-sync-state.js';
 import { toWireUse } from './work-on-the-wire.js';
 
 /** What a heartbeat is made from. */
 export interface BeatInputs {
   readonly self: PeerAddress & { readonly incarnation: string };
   readonly fleet: FleetView;
-  readonly knowledge: SharedKnowledge;
+  readonly knowledge: StoreSyncState;
   readonly canPlan: boolean;
   /** Whether the receiver plans, so that it has to know what this host runs. */
   readonly isPlanner: boolean;
@@ -66,7 +66,7 @@
  * What the sender of `beat` knew of the store, in instants of this process's clock; undefined where
  * it echoes no heartbeat of this process.
  */
-export function datedWordOf(beat: Beat, incarnation: string): DatedWord | undefined {
+export function datedWordOf(beat: Beat, incarnation: string): DatedStoreVersions | undefined {
   if (beat.echo?.incarnation !== incarnation) return undefined;
   // Ages were told after our own beat had arrived there, so they held at that beat or later.
   const { sentAtMs } = beat.echo;
--- a/packages/relay/src/peers/leaving-news.ts
+++ b/packages/relay/src/peers/leaving-news.ts
@@ -38,7 +38,7 @@
     const { clock, notices, peers } = this.parts;
     const server = fromWireServer(wire);
     const saidAtMs = clock.monotonicMs() - agoMs;
-    if (!notices.hearLeaving(server, saidAtMs, host)) return;
+    if (!notices.recordLeaving(server, saidAtMs, host)) return;
     if (passOn) this.#spread.passOn({ server, saidAtMs });
     else if (peers.isAmongFirst()) this.#spread.tell({ server, saidAtMs });
   }
--- a/packages/relay/src/peers/limit-news.ts
+++ b/packages/relay/src/peers/limit-news.ts
@@ -1,5 +1,5 @@
 import type { Milliseconds } from '@poppypond/core';
-import type { ServerLimit, ServerLimits, ToldLimit } from '@poppypond/fleet';
+import type { ServerLimit, ServerLimits, PeerLimit } from '@poppypond/fleet';
 import type { ServerNotices } from '../notices/server-notices.js';
 import { BatchedSpread } from './batched-spread.js';
 import type { ExchangeParts } from './exchange-parts.js';
@@ -35,7 +35,7 @@
     this.#spread = new ZoneSpread(peers, (to, told, passOn) => {
       this.#send(to, told, passOn);
     });
-    const find = (serverId: string) => limits.ofId(serverId);
+    const find = (serverId: string) => limits.findById(serverId);
     this.#batch = new BatchedSpread({ clock, spread: this.#spread, find });
     notices.onLimit((limit) => {
       this.#batch.tell([limit.server.id]);
@@ -72,15 +72,15 @@
   }
 
   /** Takes in what a host knows; what was news here. */
-  hear(wire: readonly WireLimit[], host: string): readonly ToldLimit[] {
+  hear(wire: readonly WireLimit[], host: string): readonly PeerLimit[] {
     const nowMs = this.parts.clock.monotonicMs();
     return wire
       .map((limit) => fromWireLimit(limit, nowMs))
-      .filter((limit) => this.parts.notices.hearLimitTold(limit, host));
+      .filter((limit) => this.parts.notices.recordPeerLimit(limit, host));
   }
 
-  #passOn(news: readonly ToldLimit[]): void {
-    this.#spread.passOn(news.flatMap(({ server }) => this.parts.limits.ofId(server.id) ?? []));
+  #passOn(news: readonly PeerLimit[]): void {
+    this.#spread.passOn(news.flatMap(({ server }) => this.parts.limits.findById(server.id) ?? []));
   }
 
   #all(): readonly ServerLimit[] {
@@ -93,7 +93,7 @@
     return limits.filter(({ changedAtMs }) => changedAtMs > sinceMs).slice(-MOST_IN_BEAT);
   }
 
-  #tellAsFirst(news: readonly ToldLimit[]): void {
+  #tellAsFirst(news: readonly PeerLimit[]): void {
     if (news.length === 0 || !this.parts.peers.isAmongFirst()) return;
     this.#batch.tell(news.map(({ server }) => server.id));
   }
--- a/packages/relay/src/peers/limit-on-the-wire.ts
+++ b/packages/relay/src/peers/limit-on-the-wire.ts
@@ -1,11 +1,11 @@
 import type { Milliseconds } from '@poppypond/core';
-import type { ServerLimit, ToldLimit } from '@poppypond/fleet';
+import type { ServerLimit, PeerLimit } from '@poppypond/fleet';
 import { fromWireServer, toWireServer } from './list-on-the-wire.js';
 import type { WireLimit } from './plan-messages.js';
 
 /** A limit as it is told to peers, as of `nowMs`. */
 export function toWireLimit(limit: ServerLimit, nowMs: Milliseconds): WireLimit {
-  const { server, perSecond, isOver, saidAtMs } = limit;
+  const { server, perSecond, isLifted: isOver, reportedAtMs: saidAtMs } = limit;
   return [toWireServer(server), perSecond, isOver, Math.max(0, Math.round(nowMs - saidAtMs))];
 }
 
@@ -13,6 +13,11 @@
 export function fromWireLimit(
   [server, perSecond, isOver, agoMs]: WireLimit,
   nowMs: Milliseconds,
-): ToldLimit {
-  return { server: fromWireServer(server), perSecond, isOver, saidAtMs: nowMs - agoMs };
+): PeerLimit {
+  return {
+    server: fromWireServer(server),
+    perSecond,
+    isLifted: isOver,
+    reportedAtMs: nowMs - agoMs,
+  };
 }
--- a/packages/relay/src/peers/message-intake.ts
+++ b/packages/relay/src/peers/message-intake.ts
@@ -11,14 +11,14 @@
 import type { News } from './news.js';
 import type { Beat, PeerMessage, WireMember } from './peer-messages.js';
 import type { QuarantineNews } from './quarantine-news.js';
-import type { SharedKnowledge } from './shared-knowledge.js';
+import type { StoreSyncState } from './store-sync-state.js';
 import { fromWireUse } from './work-on-the-wire.js';
 
 /** Whoever takes in messages of other hosts. */
 export interface MessageIntakeParts extends Omit<ExchangeParts, 'selfFields' | 'send'> {
   readonly fleet: FleetView;
   readonly planner: Planner;
-  readonly knowledge: SharedKnowledge;
+  readonly knowledge: StoreSyncState;
   readonly beats: Beats;
   readonly news: News;
   readonly attempts: AttemptNews;
@@ -55,7 +55,7 @@
         planner.withdraw(attempt);
       })
       .with({ kind: 'read' }, ({ attempt }) => {
-        fleet.onReadDone(attempt);
+        fleet.onPrefillDone(attempt);
       })
       .with({ kind: 'end' }, ({ attempt }) => {
         fleet.end(attempt);
--- a/packages/relay/src/peers/mocks/mesh-network.ts
+++ b/packages/relay/src/peers/mocks/mesh-network.ts
@@ -1,12 +1,12 @@
 import type { Clock, Milliseconds } from '@poppypond/core';
-import { FleetView, Quarantine, RestingServers, ServerLimits } from '@poppypond/fleet';
+import { FleetView, Quarantine, ServerBackoffs, ServerLimits } from '@poppypond/fleet';
 import type { BackendServer } from '@poppypond/fleet';
 import { ENGINE_FIGURES, ENGINE_SERVICE, engineServer, ManualClock } from '@poppypond/mocks';
-import { ConfigurationInForce, Freshness } from '@poppypond/routing';
+import { ActiveConfiguration, Freshness } from '@poppypond/routing';
 import type { RoutingConfiguration } from '@poppypond/routing';
 import { Measures, silentLog } from '@poppypond/telemetry';
 import { ServerNotices } from '../../notices/server-notices.js';
-import { Placing } from '../../planning/placing.js';
+import { PlacementClient } from '../../planning/placement-client.js';
 import type { PlanAnswer } from '../../planning/plan-request.js';
 import { Planner } from '../../planning/planner.js';
 import { SharedQuarantine } from '../../quarantine/shared-quarantine.js';
@@ -15,7 +15,7 @@
 import type { PeerAddress } from '../peer-list.js';
 import type { PeerMessage } from '../peer-messages.js';
 import { PeerMesh } from '../peer-mesh.js';
-import { SharedKnowledge } from '../shared-knowledge.js';
+import { StoreSyncState } from '../store-sync-state.js';
 
 /** A clock of one process: the common one, counted from the start of the process. */
 function clockFrom(common: ManualClock, startedAtMs: Milliseconds): Clock {
@@ -61,14 +61,14 @@
 export interface Host {
   readonly mesh: PeerMesh;
   readonly fleet: FleetView;
-  readonly inForce: ConfigurationInForce;
+  readonly inForce: ActiveConfiguration;
   readonly freshness: Freshness;
   readonly list: ServerList;
-  readonly knowledge: SharedKnowledge;
+  readonly syncState: StoreSyncState;
   readonly quarantine: SharedQuarantine;
   readonly notices: ServerNotices;
   readonly limits: ServerLimits;
-  readonly placing: Placing;
+  readonly placement: PlacementClient;
   readonly clock: Clock;
   readonly startedAtMs: Milliseconds;
   /** Answers of planners. */
@@ -94,15 +94,15 @@
   start(port: number, known: readonly number[], knowsServers = true, isListed = true): Host {
     const startedAtMs = this.clock.monotonicMs();
     const clock = clockFrom(this.clock, startedAtMs);
-    const inForce = new ConfigurationInForce();
+    const inForce = new ActiveConfiguration();
     inForce.apply(CONFIGURATION);
     const freshness = new Freshness(clock);
     const list = new ServerList(clock, silentLog);
     const fleet = new FleetView();
     this.#lives += 1;
-    const knowledge = new SharedKnowledge({ clock, inForce, freshness, list });
+    const knowledge = new StoreSyncState({ clock, inForce, freshness, list });
     const own = { clock, log: silentLog, measures: new Measures(), host: addressOf(port).host };
-    const rests = new RestingServers(draw);
+    const rests = new ServerBackoffs(draw);
     const limits = new ServerLimits();
     const notices = new ServerNotices({ ...own, servers: list, rests, limits });
     const quarantine = new SharedQuarantine({
@@ -112,12 +112,12 @@
     const answers: HeardAnswer[] = [];
     const planner: Planner = new Planner({
       clock,
-      inForce,
+      activeConfiguration: inForce,
       servers: list,
       fleet,
-      draw,
+      random: draw,
       limits,
-      partOf: (service, isAlone) => mesh.limitPart(service, isAlone),
+      limitPartOf: (service, isAlone) => mesh.limitPart(service, isAlone),
     });
     const mesh: PeerMesh = new PeerMesh({
       clock,
@@ -133,23 +133,29 @@
       engineServices: () => [ENGINE_SERVICE],
       onPlan: (attemptId, answer) => {
         answers.push({ attemptId, answer });
-        placing.hear(attemptId, answer);
+        placing.onPlanAnswer(attemptId, answer);
       },
-      knowledge,
+      syncState: knowledge,
       quarantine,
       notices,
       limits,
-      beatPeriodMs: 500,
+      heartbeatPeriodMs: 500,
       onGone: (gone) => this.gone.push(gone),
     });
     const { host: name } = addressOf(port);
-    const placing = new Placing({ clock, log: silentLog, host: name, peers: mesh, planner });
+    const placing = new PlacementClient({
+      clock,
+      log: silentLog,
+      host: name,
+      peers: mesh,
+      planner,
+    });
     if (knowsServers) list.replace(this.servers, 0, 1);
     const beliefs = { inForce, freshness, list, knowledge, quarantine, notices, limits };
     const host = { mesh, fleet, placing, clock, ...beliefs, startedAtMs, answers };
     this.hosts.set(port, host);
     mesh.start();
-    if (isListed) mesh.learn(known.map((other) => this.addressOf(other)));
+    if (isListed) mesh.addMembers(known.map((other) => this.addressOf(other)));
     return host;
   }
 
--- a/packages/relay/src/peers/news.ts
+++ b/packages/relay/src/peers/news.ts
@@ -1,19 +1,19 @@
 import type { Milliseconds } from '@poppypond/core';
 import type { Log } from '@poppypond/telemetry';
-import { changeOfList, changedList } from '../store/list-change.js';
-import type { ListChange } from '../store/list-change.js';
+import { diffLists, applyListDelta } from '../store/list-delta.js';
+import type { ListDelta } from '../store/list-delta.js';
 import type { ExchangeParts } from './exchange-parts.js';
 import { fromWireServer, packList, toWireServer, unpackList } from './list-on-the-wire.js';
 import { packBytes, unpackBytes } from './packed-bytes.js';
 import type { Peer } from './peer-list.js';
 import type { PeerMessage, Told, Want, WireListChange } from './peer-messages.js';
 import { PieceCollector, splitPieces } from './pieces.js';
-import type { PeerWord, SharedKnowledge } from './shared-knowledge.js';
+import type { StoreVersions, StoreSyncState } from './store-sync-state.js';
 
 /** What the exchange of news needs. */
 export interface NewsParts extends ExchangeParts {
   readonly log: Log;
-  readonly knowledge: SharedKnowledge;
+  readonly knowledge: StoreSyncState;
   /** Called when something that `host` has told was taken in. */
   readonly onTaken: (host: string) => void;
 }
@@ -57,13 +57,13 @@
       this.#sendWhole('configuration', zoneHosts, false);
     }
     if (!isListNew) return;
-    const change = changeOfList(listedBefore, listed, own.listDigest);
+    const change = diffLists(listedBefore, listed, own.listDigest);
     this.parts.send(zoneFirsts, this.#changeMessage(change, true));
     this.parts.send(zoneHosts, this.#changeMessage(change, false));
   }
 
   /** A peer has said what it knows; it is asked for what this host lacks. */
-  onWord(peer: Peer, word: PeerWord): void {
+  onWord(peer: Peer, word: StoreVersions): void {
     const { clock, knowledge, selfFields } = this.parts;
     const { own } = knowledge;
     const isConfigurationNewer = word.configurationVersion > own.configurationVersion;
@@ -103,8 +103,8 @@
     if (message.digest === knowledge.own.listDigest) return;
     const { fromDigest, digest, version, graceMs, goneIds } = message;
     const servers = message.servers.map(fromWireServer);
-    const change: ListChange = { fromDigest, digest, version, graceMs, servers, goneIds };
-    const list = changedList(knowledge.own, knowledge.listed, change);
+    const change: ListDelta = { fromDigest, digest, version, graceMs, servers, goneIds };
+    const list = applyListDelta(knowledge.own, knowledge.listed, change);
     if (!list || !knowledge.hearList(list)) return;
     this.#noteTold();
     if (message.passOn) this.parts.send(peers.inOwnZone(), this.#changeMessage(change, false));
@@ -143,7 +143,7 @@
     this.#toldDigest = listDigest;
   }
 
-  #changeMessage(change: ListChange, passOn: boolean): PeerMessage {
+  #changeMessage(change: ListDelta, passOn: boolean): PeerMessage {
     const servers = change.servers.map(toWireServer);
     const graceMs = Math.round(change.graceMs);
     const goneIds = [...change.goneIds];
--- a/packages/relay/src/peers/peer-mesh-at-size.test.ts
+++ b/packages/relay/src/peers/peer-mesh-at-size.test.ts
@@ -49,7 +49,7 @@
     const reader = [...network.hosts.values()].find(({ mesh }) => mesh.isReader());
     const changed = servers.slice(1).map((server, index) => ({ ...server, isDraining: index < 3 }));
     reader?.list.replace(changed, 0, 3);
-    reader?.mesh.tellNews();
+    reader?.mesh.publishStoreState();
     await network.run(50);
     for (const { list } of network.hosts.values()) {
       expect(list.digest).toBe(reader?.list.digest);
@@ -71,11 +71,11 @@
     );
     const newest = { ...CONFIGURATION, version: 2 };
     const heard: number[] = [];
-    for (const { inForce, knowledge } of network.hosts.values()) {
-      knowledge.onConfiguration((bytes) => {
+    for (const { inForce, syncState: knowledge } of network.hosts.values()) {
+      knowledge.onConfigurationReceived((bytes) => {
         heard.push(bytes.length);
         inForce.apply(newest);
-        knowledge.onConfigurationInForce(bytes);
+        knowledge.onConfigurationActivated(bytes);
       });
     }
     let told = 0;
@@ -85,11 +85,11 @@
     };
     const reader = network.hosts.get(1);
     reader?.inForce.apply(newest);
-    reader?.knowledge.onConfigurationInForce(long);
-    reader?.mesh.tellNews();
+    reader?.syncState.onConfigurationActivated(long);
+    reader?.mesh.publishStoreState();
     await network.run(2500);
     expect(heard).toEqual([long.length, long.length, long.length, long.length]);
-    for (const { knowledge } of network.hosts.values()) {
+    for (const { syncState: knowledge } of network.hosts.values()) {
       expect(knowledge.isConfigurationBehind).toBe(false);
     }
   });
@@ -97,17 +97,17 @@
   it('lets a host that has started serve as soon as it is told what holds, not a heartbeat later', async () => {
     const network = new MeshNetwork();
     for (const port of PORTS.slice(0, 4)) {
-      const { freshness, inForce, knowledge } = network.start(port, PORTS);
+      const { freshness, inForce, syncState: knowledge } = network.start(port, PORTS);
       inForce.apply({ ...CONFIGURATION, version: 2 });
-      knowledge.onConfigurationInForce(Buffer.from('as it is kept'));
-      freshness.prove(0);
+      knowledge.onConfigurationActivated(Buffer.from('as it is kept'));
+      freshness.confirm(0);
     }
     await network.run(1200);
     for (const { freshness, startedAtMs } of network.hosts.values()) {
-      freshness.prove(network.clock.monotonicMs() - startedAtMs);
+      freshness.confirm(network.clock.monotonicMs() - startedAtMs);
     }
-    const { knowledge, inForce } = network.start(5, PORTS);
-    knowledge.onConfiguration(() => {
+    const { syncState: knowledge, inForce } = network.start(5, PORTS);
+    knowledge.onConfigurationReceived(() => {
       inForce.apply({ ...CONFIGURATION, version: 2 });
     });
     await network.run(50);
--- a/packages/relay/src/peers/peer-mesh.test.ts
+++ b/packages/relay/src/peers/peer-mesh.test.ts
@@ -21,7 +21,7 @@
     contextTokens: 1000,
     held: [{ engineId: 'i-2', tokens: 5 }],
     gapAimMs: 200,
-    isReading: true,
+    isPrefilling: true,
     placedAtMs: 0,
     expiresAtMs: 60_000,
   };
@@ -34,7 +34,7 @@
     const readers = () => PORTS.filter((port) => network.hosts.get(port)?.mesh.isReader());
     await network.run(1000);
     expect(readers()).toEqual([1, 2]);
-    network.hosts.get(1)?.knowledge.onStoreFailure();
+    network.hosts.get(1)?.syncState.onStoreFailure();
     await network.run(1000);
     expect(readers()).toEqual([2, 3]);
     await network.run(3000);
@@ -126,11 +126,11 @@
     await network.run(1000);
     const reader = network.hosts.get(1);
     reader?.list.replace([ENGINE, { ...ENGINE, id: 'i-2', isDraining: true }], 0, 2);
-    reader?.mesh.tellNews();
+    reader?.mesh.publishStoreState();
     await network.run(50);
-    for (const { list, knowledge } of network.hosts.values()) {
+    for (const { list, syncState: knowledge } of network.hosts.values()) {
       expect(list.digest).toBe(reader?.list.digest);
-      expect(knowledge.isListDifferent).toBe(false);
+      expect(knowledge.isListBehind).toBe(false);
     }
   });
 
@@ -140,15 +140,15 @@
     await network.run(1000);
     const begun: (number | undefined)[] = [];
     for (const { list } of network.hosts.values()) {
-      list.onNewLife(({ bornMs }) => begun.push(bornMs));
+      list.onNewIncarnation(({ startedAtMs: bornMs }) => begun.push(bornMs));
     }
     const reader = network.hosts.get(1);
-    reader?.list.replace([{ ...ENGINE, port: 2, bornMs: 7 }], 0, 2);
-    reader?.mesh.tellNews();
+    reader?.list.replace([{ ...ENGINE, port: 2, startedAtMs: 7 }], 0, 2);
+    reader?.mesh.publishStoreState();
     await network.run(50);
     expect(begun).toEqual(PORTS.map(() => 7));
     for (const { list } of network.hosts.values()) {
-      expect(list.available(ENGINE_SERVICE)).toEqual([{ ...ENGINE, port: 2, bornMs: 7 }]);
+      expect(list.available(ENGINE_SERVICE)).toEqual([{ ...ENGINE, port: 2, startedAtMs: 7 }]);
     }
   });
 
@@ -158,16 +158,16 @@
     await network.run(1000);
     const known = (port: number) => network.hosts.get(port)?.list.available(ENGINE_SERVICE);
     const planners = network.hosts.get(5)?.mesh.plannersOf(ENGINE_SERVICE) ?? [];
-    network.hosts.get(5)?.mesh.tellGone(ENGINE);
+    network.hosts.get(5)?.mesh.broadcastServerGone(ENGINE);
     await network.run(50);
     expect(planners.length).toBeGreaterThan(0);
     for (const planner of planners) expect(known(Number(planner.slice(-1)))).toEqual([]);
     const told = network.sent.length;
-    network.hosts.get(5)?.mesh.tellGone(ENGINE);
+    network.hosts.get(5)?.mesh.broadcastServerGone(ENGINE);
     expect(network.sent).toHaveLength(told);
     const reader = network.hosts.get(1);
     reader?.list.replace([{ ...ENGINE, port: 2 }], 0, 2);
-    reader?.mesh.tellNews();
+    reader?.mesh.publishStoreState();
     await network.run(50);
     for (const port of PORTS) expect(known(port)).toHaveLength(1);
   });
@@ -192,14 +192,14 @@
     await network.run(1000);
     const heard: string[] = [];
     const last = network.hosts.get(5);
-    last?.knowledge.onConfiguration((bytes) => heard.push(bytes.toString()));
+    last?.syncState.onConfigurationReceived((bytes) => heard.push(bytes.toString()));
     const reader = network.hosts.get(1);
     reader?.inForce.apply({ ...CONFIGURATION, version: 2 });
-    reader?.knowledge.onConfigurationInForce(Buffer.from('as it is kept'));
-    reader?.mesh.tellNews();
+    reader?.syncState.onConfigurationActivated(Buffer.from('as it is kept'));
+    reader?.mesh.publishStoreState();
     await network.run(50);
     expect(heard).toEqual(['as it is kept']);
-    expect(last?.knowledge.isConfigurationBehind).toBe(true);
+    expect(last?.syncState.isConfigurationBehind).toBe(true);
   });
 
   it('is not sent to the store by a reader that knows an older list', async () => {
@@ -208,18 +208,18 @@
     await network.run(1000);
     const [first, second] = [network.hosts.get(1), network.hosts.get(2)];
     first?.list.replace([ENGINE, { ...ENGINE, id: 'i-2' }], 0, 2);
-    first?.mesh.tellNews();
+    first?.mesh.publishStoreState();
     const isNewsToSecond = ({ to, message }: Sent) => to === 2 && message.kind === 'list_change';
     const lost = network.sent.findIndex(isNewsToSecond);
     expect(lost).toBeGreaterThanOrEqual(0);
     network.sent.splice(lost, 1);
     for (let round = 0; round < 3; round += 1) {
       await network.run(300);
-      second?.list.freshness.prove(network.clock.monotonicMs() - second.startedAtMs);
+      second?.list.freshness.confirm(network.clock.monotonicMs() - second.startedAtMs);
     }
     await network.run(600);
     expect(network.hosts.get(5)?.list.digest).toBe(first?.list.digest);
-    expect(network.hosts.get(5)?.knowledge.isListDifferent).toBe(false);
+    expect(network.hosts.get(5)?.syncState.isListBehind).toBe(false);
   });
 
   it('tells a host that has started while the store is away, and that knows nobody, all it needs', async () => {
@@ -227,23 +227,23 @@
     for (const port of PORTS) network.start(port, PORTS);
     await network.run(1000);
     const newest = { ...CONFIGURATION, version: 2 };
-    for (const { inForce, knowledge } of network.hosts.values()) {
+    for (const { inForce, syncState: knowledge } of network.hosts.values()) {
       inForce.apply(newest);
-      knowledge.onConfigurationInForce(Buffer.from('as it is kept'));
+      knowledge.onConfigurationActivated(Buffer.from('as it is kept'));
       knowledge.onStoreFailure();
     }
     network.hosts.delete(5);
     await network.run(2500);
     const started = network.start(5, [], false, false);
     const heard: string[] = [];
-    started.knowledge.onConfiguration((bytes) => {
+    started.syncState.onConfigurationReceived((bytes) => {
       heard.push(bytes.toString());
       started.inForce.apply(newest);
     });
     await network.run(1500);
     expect(heard[0]).toBe('as it is kept');
     expect(started.list.isKnown).toBe(true);
-    expect(started.knowledge.isConfigurationBehind).toBe(false);
+    expect(started.syncState.isConfigurationBehind).toBe(false);
     expect(started.mesh.aliveCount).toBeGreaterThan(0);
   });
 
@@ -253,7 +253,7 @@
     for (const port of ports) network.start(port, ports);
     await network.run(1000);
     for (let round = 0; round < 4; round += 1) {
-      for (const { knowledge } of network.hosts.values()) knowledge.onStoreFailure();
+      for (const { syncState: knowledge } of network.hosts.values()) knowledge.onStoreFailure();
       await network.run(500);
     }
     network.sent.length = 0;
@@ -280,8 +280,8 @@
       aimMs: 300,
       gapAimMs: 200,
       arrivedAtMs: 0,
-      silentSinceMs: 0,
-      limitAtMs: 60_000,
+      callerSilentSinceMs: 0,
+      deadlineAtMs: 60_000,
       isRepeated: false,
       avoidedIds: [],
       excludedIds: [],
@@ -320,7 +320,7 @@
           if (kind === 'lose') network.sent.splice(ms, 1);
           if (kind === 'prove') {
             provedAtMs = network.clock.monotonicMs();
-            reader.freshness.prove(provedAtMs - reader.startedAtMs);
+            reader.freshness.confirm(provedAtMs - reader.startedAtMs);
           }
           if (kind === 'restart') {
             other.mesh.stop();
--- a/packages/relay/src/peers/peer-mesh.ts
+++ b/packages/relay/src/peers/peer-mesh.ts
@@ -7,7 +7,7 @@
   ServerLimits,
 } from '@poppypond/fleet';
 import type { Log } from '@poppypond/telemetry';
-import type { PlannerPeers } from '../planning/placing.js';
+import type { PlannerPeers } from '../planning/placement-client.js';
 import type { PlanAnswer, PlanRequest } from '../planning/plan-request.js';
 import type { Planner } from '../planning/planner.js';
 import type { SharedQuarantine } from '../quarantine/shared-quarantine.js';
@@ -24,7 +24,7 @@
 import type { PeerMessage, WireMember } from './peer-messages.js';
 import { QuarantineNews } from './quarantine-news.js';
 import type { SelfFields } from './self-fields.js';
-import type { SharedKnowledge } from './shared-knowledge.js';
+import type { StoreSyncState } from './store-sync-state.js';
 
 /** Sends one message to a peer; may lose it. */
 export interface PeerSender {
@@ -43,12 +43,12 @@
   readonly engineServices: () => readonly string[];
   /** Takes in a planner's answer. */
   readonly onPlan: (attemptId: string, answer: PlanAnswer) => void;
-  readonly knowledge: SharedKnowledge;
+  readonly syncState: StoreSyncState;
   readonly quarantine: SharedQuarantine;
   readonly notices: ServerNotices;
   readonly limits: ServerLimits;
   /** Pause between heartbeats. */
-  readonly beatPeriodMs: Milliseconds;
+  readonly heartbeatPeriodMs: Milliseconds;
   /** Called by one of the first hosts when another is gone for good. */
   readonly onGone: (host: string) => void;
 }
@@ -84,7 +84,7 @@
   constructor(readonly parts: PeerMeshParts) {
     this.#peers = new PeerList(parts.clock, parts.self, () => parts.planner.canPlan);
     this.#departed = new DepartedHosts(parts.clock);
-    const { clock, log, self, fleet, planner, knowledge, quarantine } = parts;
+    const { clock, log, self, fleet, planner, syncState: knowledge, quarantine } = parts;
     const { engineServices, limits, notices } = parts;
     const shared = {
       clock,
@@ -133,7 +133,7 @@
   /** Whether this host is one of the few that read the store for all. */
   isReader(): boolean {
     const { host } = this.parts.self;
-    if (this.parts.knowledge.isStoreLost) return false;
+    if (this.parts.syncState.isStoreLost) return false;
     return this.#peers.isAmongReaders(host);
   }
 
@@ -143,14 +143,14 @@
   }
 
   /** Tells all known hosts what the store has told. */
-  tellNews(): void {
+  publishStoreState(): void {
     this.#news.tell();
   }
 
   /** Begins to send heartbeats. */
   start(): void {
     this.#beats.askAll();
-    this.#cancel = this.parts.clock.every(this.parts.beatPeriodMs, () => {
+    this.#cancel = this.parts.clock.every(this.parts.heartbeatPeriodMs, () => {
       this.#tick();
     });
   }
@@ -159,7 +159,7 @@
    * Adds all hosts that are listed as members, and asks those that this one has to hear of. One of
    * the first hosts greets all, as those that came before it may take others for the first.
    */
-  learn(known: readonly PeerAddress[]): void {
+  addMembers(known: readonly PeerAddress[]): void {
     this.#isListRead = true;
     const added = known.filter((peer) => this.#add(peer));
     this.#beats.askAll();
@@ -225,7 +225,7 @@
   }
 
   /** The first event of an attempt has come. `service`: undefined where planners need not know. */
-  onReadDone(attemptId: string, service: string | undefined): void {
+  onPrefillDone(attemptId: string, service: string | undefined): void {
     this.#attempts.onReadDone(attemptId, service);
   }
 
@@ -240,7 +240,7 @@
   }
 
   /** Has all hosts that choose among servers of its service leave out one that is gone. */
-  tellGone(server: BackendServer): void {
+  broadcastServerGone(server: BackendServer): void {
     this.#attempts.tellGone(server);
   }
 
--- a/packages/relay/src/peers/quarantine-news.test.ts
+++ b/packages/relay/src/peers/quarantine-news.test.ts
@@ -19,7 +19,7 @@
 
 /** A server ends under a run that begins now. */
 function endUnder(host: Host | undefined, content = CONTENT): void {
-  host?.quarantine.onEnd(content, host.quarantine.standingOf(content), 'i-1');
+  host?.quarantine.onTermination(content, host.quarantine.historyOf(content), 'i-1');
 }
 
 function holders({ hosts }: MeshNetwork): number {
--- a/packages/relay/src/peers/quarantine-news.ts
+++ b/packages/relay/src/peers/quarantine-news.ts
@@ -31,7 +31,7 @@
     });
     const find = (content: string) => quarantine.find(content);
     this.#batch = new BatchedSpread({ clock, spread: this.#spread, find });
-    quarantine.onPlace(() => peers.place);
+    quarantine.setRankSource(() => peers.place);
     quarantine.onChange((entry) => {
       this.#tell([entry]);
     });
@@ -62,7 +62,7 @@
   #hear(entries: readonly WireQuarantine[], host: string): readonly QuarantineEntry[] {
     const nowMs = this.parts.clock.monotonicMs();
     const told = entries.map((entry) => fromWireQuarantine(entry, nowMs));
-    return this.parts.quarantine.hear(told, host);
+    return this.parts.quarantine.mergeFromPeer(told, host);
   }
 
   #tell(entries: readonly QuarantineEntry[]): void {
--- a/packages/relay/src/peers/quarantine-on-the-wire.ts
+++ b/packages/relay/src/peers/quarantine-on-the-wire.ts
@@ -8,7 +8,14 @@
 
 /** An entry as it is told to peers. */
 export function toWireQuarantine(entry: QuarantineEntry, nowMs: Milliseconds): WireQuarantine {
-  const { content, round, ends, heldUntilMs, changedAtMs, lastEnds } = entry;
+  const {
+    content,
+    round,
+    ends,
+    quarantinedUntilMs: heldUntilMs,
+    changedAtMs,
+    lastTerminations: lastEnds,
+  } = entry;
   const heldForMs = wholeMs(heldUntilMs - nowMs);
   const lasts = lastEnds.map(({ server, host, atMs }): WireQuarantine[5][number] => {
     return [server, host, wholeMs(nowMs - atMs)];
@@ -25,8 +32,8 @@
     content,
     round,
     ends,
-    heldUntilMs: nowMs + heldForMs,
+    quarantinedUntilMs: nowMs + heldForMs,
     changedAtMs: nowMs - changedAgoMs,
-    lastEnds: lasts.map(([server, host, agoMs]) => ({ server, host, atMs: nowMs - agoMs })),
+    lastTerminations: lasts.map(([server, host, agoMs]) => ({ server, host, atMs: nowMs - agoMs })),
   };
 }
