--- a/packages/fleet/src/index.ts
+++ b/packages/fleet/src/index.ts
@@ -2,7 +2,7 @@
 export * from './backend-server.js';
 export * from './caller-silence.js';
 export type { RequestContent } from './content-id.js';
-export { MIN_ANNOUNCED_PREFILL_MS as TOLD_READ_MS } from './engine-load.js';
+export { MIN_ANNOUNCED_PREFILL_MS } from './engine-load.js';
 export type { EngineLoad } from './engine-load.js';
 export * from './engine-times.js';
 export * from './fleet-view.js';
--- a/packages/policy/src/decisions.test.ts
+++ b/packages/policy/src/decisions.test.ts
@@ -132,7 +132,7 @@
     promptTokens: 1000,
     outputTokens: 10,
     queuedTokens: 0,
-    leastAheadMs: 0,
+    minWorkAheadMs: 0,
     laneTokensPerMs: 100,
     engineTokensPerMs: 10,
     stepMs: 10,
--- a/packages/relay/src/backend/gated-engine-memory.test.ts
+++ b/packages/relay/src/backend/gated-engine-memory.test.ts
@@ -13,7 +13,7 @@
   const memory: EngineMemory = {
     reserve: (_server, _id, _tokens, holdMs) => {
       sent.push(`reserve for ${String(holdMs)}`);
-      return Promise.resolve({ isHeld: true, bornMs: 7, word: WORD });
+      return Promise.resolve({ isHeld: true, startedAtMs: 7, word: WORD });
     },
     release: () => {
       sent.push('release');
--- a/packages/relay/src/peers/mocks/mesh-network.ts
+++ b/packages/relay/src/peers/mocks/mesh-network.ts
@@ -151,8 +151,8 @@
       planner,
     });
     if (knowsServers) list.replace(this.servers, 0, 1);
-    const beliefs = { inForce, freshness, list, knowledge, quarantine, notices, limits };
-    const host = { mesh, fleet, placing, clock, ...beliefs, startedAtMs, answers };
+    const beliefs = { inForce, freshness, list, syncState: knowledge, quarantine, notices, limits };
+    const host = { mesh, fleet, placement: placing, clock, ...beliefs, startedAtMs, answers };
     this.hosts.set(port, host);
     mesh.start();
     if (isListed) mesh.addMembers(known.map((other) => this.addressOf(other)));
--- a/packages/relay/src/planning/limited-servers.test.ts
+++ b/packages/relay/src/planning/limited-servers.test.ts
@@ -131,7 +131,7 @@
 
   it('gives out places for calls, and counts orders that are sent anyway', async () => {
     const { ask, clock } = planner(2, 2);
-    const only = { waitsForLimitUntilMs: undefined };
+    const only = { waitsForPermitUntilMs: undefined };
     const permit = (isSent: boolean) => ({ ...only, permit: { serverIds: ['i-0'], isSent } });
     expect(ask('none', permit(false))?.kind).toBe('refuse');
     await clock.advance(500);
--- a/packages/relay/src/request/relay-run.ts
+++ b/packages/relay/src/request/relay-run.ts
@@ -1,6 +1,6 @@
 import { delay } from '@poppypond/core';
 import type { Milliseconds } from '@poppypond/core';
-import { FollowedRequest, TOLD_READ_MS } from '@poppypond/fleet';
+import { FollowedRequest, MIN_ANNOUNCED_PREFILL_MS } from '@poppypond/fleet';
 import type { BackendServer } from '@poppypond/fleet';
 import type { Route } from '@poppypond/routing';
 import type { EventFrame } from '../backend/event-frames.js';
@@ -338,7 +338,7 @@
     const { id, choice, startedAtMs } = running;
     const { clock, fleet, peers } = this.parts;
     const { partMs = 0, expectedFirstMs = 0 } = choice.plan?.stream ?? {};
-    const isTold = partMs >= TOLD_READ_MS;
+    const isTold = partMs >= MIN_ANNOUNCED_PREFILL_MS;
     peers.onPrefillDone(id, isTold ? this.#engineService : undefined);
     fleet.suspicions.clear(choice.server.id, clock.monotonicMs());
     const tookMs = clock.monotonicMs() - startedAtMs;
