--- a/packages/policy/src/decisions.test.ts
+++ b/packages/policy/src/decisions.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from 'vitest';
 import { EngineLoad } from './engine-load.js';
 import type { LoadReport } from './engine-load.js';
-import { RetryBudget } from './health/retry-allowance.js';
+import { RetryBudget } from './health/retry-budget.js';
 import { ServerHealth } from './health/server-health.js';
 import { chooseLaneSplit, laneOf, SINGLE_LANE, shortEngineCount } from './lanes/lanes.js';
 import { SizeHistogram } from './lanes/size-histogram.js';
@@ -49,11 +49,14 @@
   it('is not learned from little work, which only shows the time of a step', () => {
     const load = new EngineLoad('e', 'a', 100);
     load.onReport(report(), 0);
-    const little = load.onDispatch({ prefillTokens: 2000, heldTokens: 0, priority: 5 }, 0);
-    load.onFirstToken(little, 2);
+    const smallDispatch = load.onDispatch({ prefillTokens: 2000, heldTokens: 0, priority: 5 }, 0);
+    load.onFirstToken(smallDispatch, 2);
     expect(load.state(2).prefillTokensPerMs).toBe(100);
-    const much = load.onDispatch({ prefillTokens: 20_000, heldTokens: 0, priority: 5 }, 10);
-    load.onFirstToken(much, 120);
+    const largeDispatch = load.onDispatch(
+      { prefillTokens: 20_000, heldTokens: 0, priority: 5 },
+      10,
+    );
+    load.onFirstToken(largeDispatch, 120);
     expect(load.state(120).prefillTokensPerMs).toBeCloseTo(110);
   });
 });
@@ -102,11 +105,11 @@
 
 describe('RetryAllowance', () => {
   it('bounds retries to a share of first attempts', () => {
-    const allowance = new RetryBudget(0.1, 3);
+    const budget = new RetryBudget(0.1, 3);
     let retries = 0;
     for (let attempt = 0; attempt < 1000; attempt += 1) {
-      allowance.onFirstAttempt();
-      if (allowance.tryTake()) retries += 1;
+      budget.onFirstAttempt();
+      if (budget.tryTake()) retries += 1;
     }
     expect(retries).toBeLessThanOrEqual(103);
   });
--- a/packages/policy/src/engine-load.ts
+++ b/packages/policy/src/engine-load.ts
@@ -44,7 +44,7 @@
   readonly reportAgeMs: Milliseconds;
 }
 
-interface Outstanding extends DispatchedWork {
+interface OutstandingWork extends DispatchedWork {
   readonly dispatchedAtMs: Milliseconds;
   /** All prefill that was ahead of it, itself included. */
   readonly aheadTokens: number;
@@ -76,10 +76,10 @@
 export class EngineLoad {
   #report: LoadReport | undefined;
   #reportAtMs: Milliseconds = 0;
-  #lastDispatch = 0;
+  #lastDispatchNumber = 0;
   #prefillTokensPerMs: number;
-  readonly #outstanding = new Map<number, Outstanding>();
-  #cached: EngineState | undefined;
+  readonly #outstanding = new Map<number, OutstandingWork>();
+  #cachedState: EngineState | undefined;
 
   constructor(
     readonly id: string,
@@ -100,21 +100,21 @@
   onReport(report: LoadReport, nowMs: Milliseconds): void {
     this.#report = report;
     this.#reportAtMs = nowMs;
-    this.#cached = undefined;
+    this.#cachedState = undefined;
   }
 
   /** Notes work given to the engine; the number goes with the call and comes back in reports. */
   onDispatch(work: DispatchedWork, nowMs: Milliseconds): number {
     const state = this.state(nowMs);
-    const ahead = prefillTokensAtOrAbove(state, work.priority) + work.prefillTokens;
-    this.#lastDispatch += 1;
-    this.#outstanding.set(this.#lastDispatch, {
+    const aheadTokens = prefillTokensAtOrAbove(state, work.priority) + work.prefillTokens;
+    this.#lastDispatchNumber += 1;
+    this.#outstanding.set(this.#lastDispatchNumber, {
       ...work,
       dispatchedAtMs: nowMs,
-      aheadTokens: ahead,
+      aheadTokens,
     });
-    this.#cached = undefined;
-    return this.#lastDispatch;
+    this.#cachedState = undefined;
+    return this.#lastDispatchNumber;
   }
 
   /** Learns the prefill rate from the time that the first token took. */
@@ -127,7 +127,7 @@
 
   onEnd(dispatch: number): void {
     this.#outstanding.delete(dispatch);
-    this.#cached = undefined;
+    this.#cachedState = undefined;
   }
 
   /** This host's own attempts that have not ended. */
@@ -144,11 +144,11 @@
 
   /** What is believed of the engine now. */
   state(nowMs: Milliseconds): EngineState {
-    this.#cached ??= this.#compute();
-    return { ...this.#cached, reportAgeMs: nowMs - this.#reportAtMs };
+    this.#cachedState ??= this.#computeState();
+    return { ...this.#cachedState, reportAgeMs: nowMs - this.#reportAtMs };
   }
 
-  #compute(): EngineState {
+  #computeState(): EngineState {
     const report = this.#report ?? EMPTY_REPORT;
     const prefill = Array.from(
       { length: PRIORITY_COUNT },
--- a/packages/policy/src/health/retry-allowance.ts
+++ b/packages/policy/src/health/retry-budget.ts
@@ -3,23 +3,23 @@
  * Each first attempt earns `share` of a retry; at most `reserve` are saved up.
  */
 export class RetryBudget {
-  #saved: number;
+  #availableRetries: number;
 
   constructor(
     readonly share: number,
     readonly reserve: number,
   ) {
-    this.#saved = reserve;
+    this.#availableRetries = reserve;
   }
 
   onFirstAttempt(): void {
-    this.#saved = Math.min(this.reserve, this.#saved + this.share);
+    this.#availableRetries = Math.min(this.reserve, this.#availableRetries + this.share);
   }
 
   /** Takes one retry if there is one. */
   tryTake(): boolean {
-    if (this.#saved < 1) return false;
-    this.#saved -= 1;
+    if (this.#availableRetries < 1) return false;
+    this.#availableRetries -= 1;
     return true;
   }
 }
--- a/packages/policy/src/health/server-health.ts
+++ b/packages/policy/src/health/server-health.ts
@@ -1,10 +1,10 @@
 import type { Milliseconds } from '@poppypond/core';
 
-const FAILURES_TO_SET_ASIDE = 3;
-const FIRST_PAUSE_MS = 500;
-const LONGEST_PAUSE_MS = 15_000;
+const FAILURES_TO_EJECT = 3;
+const INITIAL_EJECTION_MS = 500;
+const MAX_EJECTION_MS = 15_000;
 /** A server that asks for a longer rest is sent one request after this. */
-const LONGEST_REST_MS = 600_000;
+const MAX_BACKOFF_MS = 600_000;
 
 /** `open`: takes work. `set_aside`: takes none. `probing`: takes one request at a time. */
 export type HealthState = 'open' | 'set_aside' | 'probing';
@@ -14,25 +14,25 @@
  * request at a time before it gets full traffic again. The pause doubles while probes fail.
  */
 export class ServerHealth {
-  #failures = 0;
-  #pauseMs = FIRST_PAUSE_MS;
-  #asideUntilMs: Milliseconds | undefined;
-  #isProbeOut = false;
-  #restUntilMs: Milliseconds = Number.NEGATIVE_INFINITY;
+  #consecutiveFailures = 0;
+  #ejectionMs = INITIAL_EJECTION_MS;
+  #ejectedUntilMs: Milliseconds | undefined;
+  #isProbeInFlight = false;
+  #backoffUntilMs: Milliseconds = Number.NEGATIVE_INFINITY;
   /** Whether a request was served that was sent after the last rest. */
-  #isRestProved = true;
+  #hasServedSinceBackoff = true;
 
   state(nowMs: Milliseconds): HealthState {
-    if (nowMs < this.#restUntilMs) return 'set_aside';
-    if (!this.#isRestProved) return 'probing';
-    if (this.#asideUntilMs === undefined) return 'open';
-    return nowMs < this.#asideUntilMs ? 'set_aside' : 'probing';
+    if (nowMs < this.#backoffUntilMs) return 'set_aside';
+    if (!this.#hasServedSinceBackoff) return 'probing';
+    if (this.#ejectedUntilMs === undefined) return 'open';
+    return nowMs < this.#ejectedUntilMs ? 'set_aside' : 'probing';
   }
 
   /** Whether a request may go there now. */
   isAvailable(nowMs: Milliseconds): boolean {
     const state = this.state(nowMs);
-    return state === 'open' || (state === 'probing' && !this.#isProbeOut);
+    return state === 'open' || (state === 'probing' && !this.#isProbeInFlight);
   }
 
   /**
@@ -40,42 +40,42 @@
    * after which one request at a time goes there until one is served.
    */
   onBackoffRequested(forMs: Milliseconds, nowMs: Milliseconds): void {
-    this.#restUntilMs = Math.max(this.#restUntilMs, nowMs + Math.min(forMs, LONGEST_REST_MS));
-    this.#isRestProved = false;
-    this.#isProbeOut = false;
+    this.#backoffUntilMs = Math.max(this.#backoffUntilMs, nowMs + Math.min(forMs, MAX_BACKOFF_MS));
+    this.#hasServedSinceBackoff = false;
+    this.#isProbeInFlight = false;
   }
 
   /** How long it rests still by its own word; 0 where it does not. */
   remainingBackoffMs(nowMs: Milliseconds): Milliseconds {
-    return Math.max(0, this.#restUntilMs - nowMs);
+    return Math.max(0, this.#backoffUntilMs - nowMs);
   }
 
   onAttempt(nowMs: Milliseconds): void {
-    if (this.state(nowMs) === 'probing') this.#isProbeOut = true;
+    if (this.state(nowMs) === 'probing') this.#isProbeInFlight = true;
   }
 
   onSuccess(): void {
-    if (this.#isProbeOut) this.#isRestProved = true;
-    this.#failures = 0;
-    this.#pauseMs = FIRST_PAUSE_MS;
-    this.#asideUntilMs = undefined;
-    this.#isProbeOut = false;
+    if (this.#isProbeInFlight) this.#hasServedSinceBackoff = true;
+    this.#consecutiveFailures = 0;
+    this.#ejectionMs = INITIAL_EJECTION_MS;
+    this.#ejectedUntilMs = undefined;
+    this.#isProbeInFlight = false;
   }
 
   /** The attempt ended without saying anything about the server, e.g. it was cancelled. */
   onInconclusiveEnd(): void {
-    this.#isProbeOut = false;
+    this.#isProbeInFlight = false;
   }
 
   /** Notes a failure; true where the server is set aside by it. */
   onFailure(nowMs: Milliseconds): boolean {
-    this.#failures += 1;
-    const wasProbe = this.#isProbeOut;
-    this.#isProbeOut = false;
-    if (!wasProbe && this.#failures < FAILURES_TO_SET_ASIDE) return false;
-    if (wasProbe) this.#pauseMs = Math.min(LONGEST_PAUSE_MS, this.#pauseMs * 2);
-    const isNew = this.#asideUntilMs === undefined;
-    this.#asideUntilMs = nowMs + this.#pauseMs;
-    return isNew;
+    this.#consecutiveFailures += 1;
+    const wasProbe = this.#isProbeInFlight;
+    this.#isProbeInFlight = false;
+    if (!wasProbe && this.#consecutiveFailures < FAILURES_TO_EJECT) return false;
+    if (wasProbe) this.#ejectionMs = Math.min(MAX_EJECTION_MS, this.#ejectionMs * 2);
+    const isNewlyEjected = this.#ejectedUntilMs === undefined;
+    this.#ejectedUntilMs = nowMs + this.#ejectionMs;
+    return isNewlyEjected;
   }
 }
--- a/packages/policy/src/index.ts
+++ b/packages/policy/src/index.ts
@@ -1,5 +1,5 @@
 export * from './engine-load.js';
-export * from './health/retry-allowance.js';
+export * from './health/retry-budget.js';
 export * from './health/server-health.js';
 export * from './lanes/lanes.js';
 export * from './lanes/size-histogram.js';
--- a/packages/policy/src/lanes/lanes.ts
+++ b/packages/policy/src/lanes/lanes.ts
@@ -16,43 +16,48 @@
 
 const MIN_REQUESTS = 20;
 const SPLIT_STEPS = 40;
-const LEAST_SHORT_SHARE = 0.1;
-const GREATEST_SHORT_SHARE = 0.9;
+const MIN_SHORT_SHARE = 0.1;
+const MAX_SHORT_SHARE = 0.9;
 /** A busier lane than this counts as hopeless. */
-const MAX_USE = 0.98;
+const MAX_UTILIZATION = 0.98;
 /** Utilisation that a split is judged at where the measured one is lower. */
-const JUDGED_USE = 0.7;
+const MIN_ASSUMED_UTILIZATION = 0.7;
 
 interface LaneLoad {
   readonly count: number;
-  readonly work: number;
-  readonly workSquared: number;
-  readonly inverse: number;
+  readonly workTokens: number;
+  readonly sumOfSquares: number;
+  readonly sumOfInverses: number;
 }
 
-function loadOf(buckets: readonly SizeBucket[]): LaneLoad {
-  let [count, work, workSquared, inverse] = [0, 0, 0, 0];
+function summarizeLoad(buckets: readonly SizeBucket[]): LaneLoad {
+  let [count, workTokens, sumOfSquares, sumOfInverses] = [0, 0, 0, 0];
   for (const bucket of buckets) {
-    const mean = bucket.work / bucket.count;
+    const mean = bucket.workTokens / bucket.count;
     count += bucket.count;
-    work += bucket.work;
-    workSquared += bucket.count * mean * mean;
-    inverse += bucket.count / mean;
+    workTokens += bucket.workTokens;
+    sumOfSquares += bucket.count * mean * mean;
+    sumOfInverses += bucket.count / mean;
   }
-  return { count, work, workSquared, inverse };
+  return {
+    count,
+    workTokens,
+    sumOfSquares,
+    sumOfInverses,
+  };
 }
 
 /**
  * Sum over a lane's requests of wait divided by size, by the Pollaczek-Khinchine mean wait of a
  * queue with `share` of all capacity. The unit of time cancels out between splits.
  */
-function laneSlowdown(load: LaneLoad, share: number, totalCapacity: number): number {
+function totalSlowdown(load: LaneLoad, share: number, totalCapacity: number): number {
   if (load.count === 0) return 0;
   const capacity = share * totalCapacity;
-  const use = load.work / capacity;
-  if (use >= MAX_USE) return Number.POSITIVE_INFINITY;
-  const meanWait = load.workSquared / (2 * capacity * capacity * (1 - use));
-  return meanWait * load.inverse * capacity;
+  const use = load.workTokens / capacity;
+  if (use >= MAX_UTILIZATION) return Number.POSITIVE_INFINITY;
+  const meanWait = load.sumOfSquares / (2 * capacity * capacity * (1 - use));
+  return meanWait * load.sumOfInverses * capacity;
 }
 
 /**
@@ -60,21 +65,22 @@
  * `use` is the measured share of all engines' capacity that is busy, from 0 to 1.
  */
 export function chooseLaneSplit(buckets: readonly SizeBucket[], use: number): LaneSplit {
-  const all = loadOf(buckets);
+  const all = summarizeLoad(buckets);
   if (all.count < MIN_REQUESTS) return SINGLE_LANE;
-  const capacity = all.work / Math.max(JUDGED_USE, Math.min(MAX_USE - 0.01, use));
+  const capacity =
+    all.workTokens / Math.max(MIN_ASSUMED_UTILIZATION, Math.min(MAX_UTILIZATION - 0.01, use));
   let best = SINGLE_LANE;
-  let least = laneSlowdown(all, 1, capacity);
+  let minSlowdown = totalSlowdown(all, 1, capacity);
   for (let cut = 1; cut < buckets.length; cut += 1) {
-    const short = loadOf(buckets.slice(0, cut));
-    const long = loadOf(buckets.slice(cut));
+    const short = summarizeLoad(buckets.slice(0, cut));
+    const long = summarizeLoad(buckets.slice(cut));
     for (let step = 1; step < SPLIT_STEPS; step += 1) {
       const share = step / SPLIT_STEPS;
-      if (share < LEAST_SHORT_SHARE || share > GREATEST_SHORT_SHARE) continue;
+      if (share < MIN_SHORT_SHARE || share > MAX_SHORT_SHARE) continue;
       const slowdown =
-        laneSlowdown(short, share, capacity) + laneSlowdown(long, 1 - share, capacity);
-      if (slowdown >= least) continue;
-      least = slowdown;
+        totalSlowdown(short, share, capacity) + totalSlowdown(long, 1 - share, capacity);
+      if (slowdown >= minSlowdown) continue;
+      minSlowdown = slowdown;
       best = { cutOffTokens: buckets[cut - 1]?.limit ?? 0, shortShare: share };
     }
   }
--- a/packages/policy/src/lanes/size-histogram.ts
+++ b/packages/policy/src/lanes/size-histogram.ts
@@ -16,25 +16,25 @@
 export interface SizeBucket {
   readonly limit: number;
   readonly count: number;
-  readonly work: number;
+  readonly workTokens: number;
 }
 
 /** Recent request sizes by work, with old ones fading away. */
 export class SizeHistogram {
   readonly #counts = new Float64Array(BUCKET_COUNT);
-  readonly #work = new Float64Array(BUCKET_COUNT);
+  readonly #workTokens = new Float64Array(BUCKET_COUNT);
 
   observe(tokens: number, weight = 1): void {
     const bucket = bucketOf(tokens);
     this.#counts[bucket] = (this.#counts[bucket] ?? 0) + weight;
-    this.#work[bucket] = (this.#work[bucket] ?? 0) + tokens * weight;
+    this.#workTokens[bucket] = (this.#workTokens[bucket] ?? 0) + tokens * weight;
   }
 
   /** Multiplies all that was seen so far. */
   decay(factor: number): void {
     for (let bucket = 0; bucket < BUCKET_COUNT; bucket += 1) {
       this.#counts[bucket] = (this.#counts[bucket] ?? 0) * factor;
-      this.#work[bucket] = (this.#work[bucket] ?? 0) * factor;
+      this.#workTokens[bucket] = (this.#workTokens[bucket] ?? 0) * factor;
     }
   }
 
@@ -44,7 +44,11 @@
     for (let bucket = 0; bucket < BUCKET_COUNT; bucket += 1) {
       const count = this.#counts[bucket] ?? 0;
       if (count > 0)
-        found.push({ limit: bucketLimit(bucket), count, work: this.#work[bucket] ?? 0 });
+        found.push({
+          limit: bucketLimit(bucket),
+          count,
+          workTokens: this.#workTokens[bucket] ?? 0,
+        });
     }
     return found;
   }
--- a/packages/policy/src/limits/budgets.test.ts
+++ b/packages/policy/src/limits/budgets.test.ts
@@ -22,8 +22,8 @@
 describe('Budgets', () => {
   it('refuses a single giant request although few requests came', () => {
     const budgets = fullBudgets(workspace, user);
-    const giant = budgets.charge([user, workspace], requestCost(180_000, 8000), 0);
-    expect(giant.isErr && giant.error.code).toBe('over_budget_size');
+    const oversized = budgets.charge([user, workspace], requestCost(180_000, 8000), 0);
+    expect(oversized.isErr && oversized.error.code).toBe('over_budget_size');
     expect(budgets.charge([user, workspace], requestCost(200, 200), 0).isOk).toBe(true);
   });
 
--- a/packages/policy/src/limits/budgets.ts
+++ b/packages/policy/src/limits/budgets.ts
@@ -20,7 +20,7 @@
 export type ShareOf = (budgetId: string) => number;
 
 const MIN_RETRY_AFTER_MS = 100;
-const UNKNOWN_RETRY_AFTER_MS = 5000;
+const FALLBACK_RETRY_AFTER_MS = 5000;
 
 /** The budgets of users, workspaces and pools, each scaled to this host's share of it. */
 export class Budgets {
@@ -28,7 +28,7 @@
 
   constructor(readonly shareOf: ShareOf) {}
 
-  #bucket({ id, budget }: AppliedBudget, nowMs: Milliseconds): TokenBucket {
+  #bucketFor({ id, budget }: AppliedBudget, nowMs: Milliseconds): TokenBucket {
     const share = this.shareOf(id);
     const size = {
       unitsPerSecond: budget.unitsPerSecond * share,
@@ -55,23 +55,24 @@
         const detail = `${String(units)} units, at most ${String(applied.budget.burstUnits)}`;
         return Result.err(fault('over_budget_size', detail, { path: applied.id }));
       }
-      const bucket = this.#bucket(applied, nowMs);
-      if (!bucket.canTake(units, nowMs)) return Result.err(refusal(applied, bucket, units, nowMs));
+      const bucket = this.#bucketFor(applied, nowMs);
+      if (!bucket.canTake(units, nowMs))
+        return Result.err(limitExceededFault(applied, bucket, units, nowMs));
     }
-    for (const applied of budgets) this.#bucket(applied, nowMs).take(units, nowMs);
+    for (const applied of budgets) this.#bucketFor(applied, nowMs).take(units, nowMs);
     return Result.ok({ budgets, units });
   }
 
   /** Gives back or charges the difference once the true cost is known. */
   settle(charge: Charge, actualUnits: number, nowMs: Milliseconds): void {
     for (const applied of charge.budgets) {
-      this.#bucket(applied, nowMs).take(actualUnits - charge.units, nowMs);
+      this.#bucketFor(applied, nowMs).take(actualUnits - charge.units, nowMs);
     }
   }
 
   /** Units that this host could spend now. */
   available(applied: AppliedBudget, nowMs: Milliseconds): number {
-    return this.#bucket(applied, nowMs).available(nowMs);
+    return this.#bucketFor(applied, nowMs).available(nowMs);
   }
 
   /**
@@ -79,7 +80,7 @@
    * share, what follows at the new one. Without this the next call refilled at the old share.
    */
   onShareChanged(applied: AppliedBudget, nowMs: Milliseconds): void {
-    this.#bucket(applied, nowMs);
+    this.#bucketFor(applied, nowMs);
   }
 
   /**
@@ -87,19 +88,19 @@
    * (negative). A bucket starts empty: units come only from here and from its own refill.
    */
   adjustUnits(applied: AppliedBudget, units: number, nowMs: Milliseconds): void {
-    this.#bucket(applied, nowMs).take(-units, nowMs);
+    this.#bucketFor(applied, nowMs).take(-units, nowMs);
   }
 }
 
-function refusal(
+function limitExceededFault(
   applied: AppliedBudget,
   bucket: TokenBucket,
   units: number,
   nowMs: Milliseconds,
 ): Fault {
-  const waitMs = bucket.timeUntil(units, nowMs);
+  const waitMs = bucket.timeUntilAvailableMs(units, nowMs);
   const retryAfterMs = Number.isFinite(waitMs)
     ? Math.max(MIN_RETRY_AFTER_MS, waitMs)
-    : UNKNOWN_RETRY_AFTER_MS;
+    : FALLBACK_RETRY_AFTER_MS;
   return fault('limit_exceeded', `token budget ${applied.id}`, { path: applied.id, retryAfterMs });
 }
--- a/packages/policy/src/limits/demand-rate.ts
+++ b/packages/policy/src/limits/demand-rate.ts
@@ -5,27 +5,27 @@
 /** Recent demand in units a second; half of what was seen is forgotten after `halfLifeMs`. */
 export class DemandRate {
   #units = 0;
-  #atMs: Milliseconds;
+  #updatedAtMs: Milliseconds;
 
   constructor(
     readonly halfLifeMs: Milliseconds,
     nowMs: Milliseconds,
   ) {
-    this.#atMs = nowMs;
+    this.#updatedAtMs = nowMs;
   }
 
-  #fade(nowMs: Milliseconds): void {
-    this.#units *= 0.5 ** ((nowMs - this.#atMs) / this.halfLifeMs);
-    this.#atMs = nowMs;
+  #decay(nowMs: Milliseconds): void {
+    this.#units *= 0.5 ** ((nowMs - this.#updatedAtMs) / this.halfLifeMs);
+    this.#updatedAtMs = nowMs;
   }
 
   add(units: number, nowMs: Milliseconds): void {
-    this.#fade(nowMs);
+    this.#decay(nowMs);
     this.#units += units;
   }
 
   unitsPerSecond(nowMs: Milliseconds): number {
-    this.#fade(nowMs);
+    this.#decay(nowMs);
     return (this.#units * Math.LN2 * MS_PER_SECOND) / this.halfLifeMs;
   }
 }
--- a/packages/policy/src/limits/token-bucket.ts
+++ b/packages/policy/src/limits/token-bucket.ts
@@ -14,7 +14,7 @@
  */
 export class TokenBucket {
   #units: number;
-  #atMs: Milliseconds;
+  #updatedAtMs: Milliseconds;
 
   constructor(
     public size: BucketSize,
@@ -22,14 +22,14 @@
     units = size.burstUnits,
   ) {
     this.#units = units;
-    this.#atMs = nowMs;
+    this.#updatedAtMs = nowMs;
   }
 
   /** What can be spent now. */
   available(nowMs: Milliseconds): number {
-    const gained = ((nowMs - this.#atMs) * this.size.unitsPerSecond) / MS_PER_SECOND;
-    this.#units = Math.min(this.size.burstUnits, this.#units + gained);
-    this.#atMs = nowMs;
+    const refilledUnits = ((nowMs - this.#updatedAtMs) * this.size.unitsPerSecond) / MS_PER_SECOND;
+    this.#units = Math.min(this.size.burstUnits, this.#units + refilledUnits);
+    this.#updatedAtMs = nowMs;
     return this.#units;
   }
 
@@ -43,11 +43,11 @@
   }
 
   /** How long until `units` can be taken; infinite where the bucket never holds so many. */
-  timeUntil(units: number, nowMs: Milliseconds): Milliseconds {
+  timeUntilAvailableMs(units: number, nowMs: Milliseconds): Milliseconds {
     if (units > this.size.burstUnits) return Number.POSITIVE_INFINITY;
-    const missing = units - this.available(nowMs);
-    if (missing <= 0) return 0;
+    const missingUnits = units - this.available(nowMs);
+    if (missingUnits <= 0) return 0;
     if (this.size.unitsPerSecond <= 0) return Number.POSITIVE_INFINITY;
-    return (missing / this.size.unitsPerSecond) * MS_PER_SECOND;
+    return (missingUnits / this.size.unitsPerSecond) * MS_PER_SECOND;
   }
 }
--- a/packages/policy/src/placement/baselines.ts
+++ b/packages/policy/src/placement/baselines.ts
@@ -2,7 +2,7 @@
 import { dispatchTo, NO_ENGINE } from './placement.js';
 import type { Placement, PlacementChoice, PlacementJob } from './placement.js';
 
-function leastBy(
+function chooseLowestCost(
   engines: readonly EngineState[],
   cost: (engine: EngineState) => number,
 ): PlacementChoice {
@@ -30,7 +30,7 @@
   readonly name = 'least-requests';
 
   choose(_job: PlacementJob, engines: readonly EngineState[]): PlacementChoice {
-    return leastBy(engines, (engine) => engine.running);
+    return chooseLowestCost(engines, (engine) => engine.running);
   }
 }
 
@@ -39,6 +39,6 @@
   readonly name = 'least-tokens';
 
   choose(_job: PlacementJob, engines: readonly EngineState[]): PlacementChoice {
-    return leastBy(engines, (engine) => engine.heldTokens + engine.prefillTokens);
+    return chooseLowestCost(engines, (engine) => engine.heldTokens + engine.prefillTokens);
   }
 }
--- a/packages/policy/src/placement/group-plan.test.ts
+++ b/packages/policy/src/placement/group-plan.test.ts
@@ -3,7 +3,7 @@
 import type { EngineState } from '../engine-load.js';
 import { MAX_GROUP_SIZE, planGroup } from './group-plan.js';
 
-const BLOCK = 1024;
+const BLOCK_TOKENS = 1024;
 const MARGIN = 0.02;
 
 function engines(held: readonly number[]): readonly EngineState[] {
@@ -25,29 +25,29 @@
 
 describe('planGroup', () => {
   it('cuts a prompt of more than twice an engine over three engines, in order', () => {
-    const plan = planGroup(950_000, 500, engines([0, 300_000, 0, 0]), BLOCK, MARGIN);
+    const plan = planGroup(950_000, 500, engines([0, 300_000, 0, 0]), BLOCK_TOKENS, MARGIN);
     expect(plan?.map((part) => part.engineId)).toEqual(['engine-0', 'engine-2', 'engine-3']);
   });
 
   it('finds a plan where only the answer no longer fits beside the prompt', () => {
-    const smaller = engines([0, 0, 0, 0]).map((state) => ({ ...state, kvTokens: 40_000 }));
-    const plan = planGroup(77_146, 16, smaller, BLOCK, MARGIN);
+    const smallEngines = engines([0, 0, 0, 0]).map((state) => ({ ...state, kvTokens: 40_000 }));
+    const plan = planGroup(77_146, 16, smallEngines, BLOCK_TOKENS, MARGIN);
     expect(plan).toHaveLength(3);
     expect(plan?.every(({ tokens }) => tokens > 16)).toBe(true);
   });
 
   it('finds a plan for all sizes that the free memory holds', () => {
     const held = fc.array(fc.integer({ min: 0, max: 380_000 }), { minLength: 1, maxLength: 8 });
-    const answers = fc.integer({ min: 1, max: 15 * BLOCK });
+    const answers = fc.integer({ min: 1, max: 15 * BLOCK_TOKENS });
     fc.assert(
       fc.property(held, answers, fc.nat(2_000_000), (holdings, answer, prompt) => {
         const free = holdings
-          .map((tokens) => Math.floor((400_000 * (1 - MARGIN) - tokens) / BLOCK))
+          .map((tokens) => Math.floor((400_000 * (1 - MARGIN) - tokens) / BLOCK_TOKENS))
           .filter((blocks) => blocks >= 16);
         const freeBlocks = free.reduce((sum, blocks) => sum + blocks, 0);
-        const neededBlocks = Math.ceil(prompt / BLOCK) + Math.ceil(answer / BLOCK);
+        const neededBlocks = Math.ceil(prompt / BLOCK_TOKENS) + Math.ceil(answer / BLOCK_TOKENS);
         fc.pre(prompt > 0 && neededBlocks <= freeBlocks);
-        expect(planGroup(prompt, answer, engines(holdings), BLOCK, MARGIN)).toBeDefined();
+        expect(planGroup(prompt, answer, engines(holdings), BLOCK_TOKENS, MARGIN)).toBeDefined();
       }),
       { seed: 14, numRuns: 1000 },
     );
@@ -59,7 +59,7 @@
     fc.assert(
       fc.property(held, tokens, fc.integer({ min: 1, max: 4096 }), (holdings, prompt, output) => {
         const states = engines(holdings);
-        const plan = planGroup(prompt, output, states, BLOCK, MARGIN);
+        const plan = planGroup(prompt, output, states, BLOCK_TOKENS, MARGIN);
         if (!plan) return;
         expect(plan.length).toBeLessThanOrEqual(MAX_GROUP_SIZE);
         expect(plan.reduce((sum, part) => sum + part.tokens, 0)).toBe(prompt + output);
@@ -69,7 +69,7 @@
           const state = states[order[index] ?? 0];
           const free = 400_000 * (1 - MARGIN) - (state?.heldTokens ?? 0);
           expect(part.tokens).toBeLessThanOrEqual(free);
-          if (index < plan.length - 1) expect(part.tokens % BLOCK).toBe(0);
+          if (index < plan.length - 1) expect(part.tokens % BLOCK_TOKENS).toBe(0);
         });
       }),
       { seed: 13, numRuns: 500 },
--- a/packages/policy/src/placement/group-plan.ts
+++ b/packages/policy/src/placement/group-plan.ts
@@ -11,7 +11,7 @@
 export const MAX_GROUP_SIZE = 8;
 
 /** Least part that is worth a handover, in tokens. */
-const LEAST_PART_TOKENS = 16_384;
+const MIN_PART_TOKENS = 16_384;
 
 /** How many engines of a pool prompts in groups may use. */
 export function groupEngineCount(engines: number, groupShare: number): number {
@@ -30,29 +30,29 @@
   blockTokens: number,
   margin: number,
 ): readonly GroupPart[] | undefined {
-  const byFree = engines
+  const byFreeMemory = engines
     .map((engine, order) => {
       const free = engine.kvTokens * (1 - margin) - engine.heldTokens;
       return { engine, order, blocks: Math.floor(free / blockTokens) };
     })
-    .filter(({ blocks }) => blocks * blockTokens >= LEAST_PART_TOKENS)
+    .filter(({ blocks }) => blocks * blockTokens >= MIN_PART_TOKENS)
     .sort((a, b) => b.blocks - a.blocks)
     .slice(0, MAX_GROUP_SIZE);
   const outputBlocks = Math.ceil(outputTokens / blockTokens);
   const neededBlocks = Math.ceil(promptTokens / blockTokens) + outputBlocks;
-  const chosen: typeof byFree = [];
+  const chosen: typeof byFreeMemory = [];
   let blocks = 0;
-  for (const candidate of byFree) {
+  for (const candidate of byFreeMemory) {
     chosen.push(candidate);
     blocks += candidate.blocks;
     if (blocks >= neededBlocks) break;
   }
   if (blocks < neededBlocks) return undefined;
   chosen.sort((a, b) => a.order - b.order);
-  return cutParts(promptTokens, outputTokens, chosen, blockTokens, outputBlocks);
+  return splitPrompt(promptTokens, outputTokens, chosen, blockTokens, outputBlocks);
 }
 
-function cutParts(
+function splitPrompt(
   promptTokens: number,
   outputTokens: number,
   chosen: readonly { readonly engine: EngineState; readonly blocks: number }[],
@@ -62,14 +62,17 @@
   const parts: GroupPart[] = [];
   let left = promptTokens;
   chosen.forEach(({ engine, blocks }, index) => {
-    const following = chosen.length - 1 - index;
+    const remainingParts = chosen.length - 1 - index;
     // Every part reads something: a block is left for each that follows.
-    const most = Math.ceil(left / blockTokens) - following;
-    const room = following === 0 ? blocks - outputBlocks : Math.min(blocks, most);
-    const tokens = Math.min(left, Math.max(0, room) * blockTokens);
+    const most = Math.ceil(left / blockTokens) - remainingParts;
+    const blockCount = remainingParts === 0 ? blocks - outputBlocks : Math.min(blocks, most);
+    const tokens = Math.min(left, Math.max(0, blockCount) * blockTokens);
     left -= tokens;
     if (tokens > 0) {
-      parts.push({ engineId: engine.id, tokens: tokens + (following === 0 ? outputTokens : 0) });
+      parts.push({
+        engineId: engine.id,
+        tokens: tokens + (remainingParts === 0 ? outputTokens : 0),
+      });
     }
   });
   return left > 0 || parts.length !== chosen.length ? undefined : parts;
--- a/packages/policy/src/placement/predicted-start.test.ts
+++ b/packages/policy/src/placement/predicted-start.test.ts
@@ -46,8 +46,8 @@
   split,
 );
 
-function chosen(asked: PlacementJob, engines: readonly EngineState[]): string {
-  const choice = placement.choose(asked, engines, random);
+function chosen(request: PlacementJob, engines: readonly EngineState[]): string {
+  const choice = placement.choose(request, engines, random);
   return choice.kind === 'dispatch' ? choice.engine.id : choice.why;
 }
 
@@ -76,15 +76,19 @@
   });
 
   it('weighs a cached prefix against load', () => {
-    const asked = job({ promptTokens: 9000, cachedTokens: (id) => (id === 'warm' ? 8192 : 0) });
-    const flat = new PredictedStartPlacement(placement.settings, {
+    const request = job({ promptTokens: 9000, cachedTokens: (id) => (id === 'warm' ? 8192 : 0) });
+    const singleLane = new PredictedStartPlacement(placement.settings, {
       cutOffTokens: Infinity,
       shortShare: 1,
     });
-    const near = flat.choose(asked, [engine('cold'), busy('warm', 4000)], random);
-    expect(near.kind === 'dispatch' && near.engine.id).toBe('warm');
-    const far = flat.choose(asked, [engine('cold'), busy('warm', 14_000)], random);
-    expect(far.kind === 'dispatch' && far.engine.id).toBe('cold');
+    const withShortQueue = singleLane.choose(request, [engine('cold'), busy('warm', 4000)], random);
+    expect(withShortQueue.kind === 'dispatch' && withShortQueue.engine.id).toBe('warm');
+    const withLongQueue = singleLane.choose(
+      request,
+      [engine('cold'), busy('warm', 14_000)],
+      random,
+    );
+    expect(withLongQueue.kind === 'dispatch' && withLongQueue.engine.id).toBe('cold');
   });
 
   it('passes over engines without memory and says so', () => {
--- a/packages/policy/src/placement/predicted-start.ts
+++ b/packages/policy/src/placement/predicted-start.ts
@@ -40,9 +40,9 @@
 };
 
 /** What each running sequence adds to a step; spreads short work over engines that are alike. */
-const RUNNING_MS = 0.05;
+const RUNNING_SEQUENCE_STEP_MS = 0.05;
 
-interface Scored {
+interface ScoredEngine {
   readonly engine: EngineState;
   readonly startMs: Milliseconds;
   readonly aheadMs: Milliseconds;
@@ -64,10 +64,10 @@
     random: RandomSource,
   ): PlacementChoice {
     if (engines.length === 0) return NO_ENGINE;
-    const groups = this.#groupsFor(job, engines);
+    const lanes = this.#lanesInOrder(job, engines);
     let why = 'no engine in the lane';
-    for (const group of groups) {
-      const choice = this.#chooseAmong(job, group, random);
+    for (const lane of lanes) {
+      const choice = this.#chooseAmong(job, lane, random);
       if (choice.kind === 'dispatch') return choice;
       why = choice.why;
     }
@@ -75,7 +75,7 @@
   }
 
   /** Groups of engines in order of preference. Long work never enters the short lane. */
-  #groupsFor(
+  #lanesInOrder(
     job: PlacementJob,
     engines: readonly EngineState[],
   ): readonly (readonly EngineState[])[] {
@@ -92,13 +92,16 @@
     engines: readonly EngineState[],
     random: RandomSource,
   ): PlacementChoice {
-    const needed = neededKvTokens(job);
+    const neededTokens = neededKvTokens(job);
     const passedOver: RejectedEngine[] = [];
-    const open: Scored[] = [];
+    const eligible: ScoredEngine[] = [];
     for (const engine of engines) {
-      const free = engine.kvTokens * (1 - this.settings.memoryMargin) - engine.heldTokens;
-      if (free < needed) {
-        passedOver.push({ candidate: engine.id, why: `memory: ${String(Math.floor(free))} free` });
+      const freeTokens = engine.kvTokens * (1 - this.settings.memoryMargin) - engine.heldTokens;
+      if (freeTokens < neededTokens) {
+        passedOver.push({
+          candidate: engine.id,
+          why: `memory: ${String(Math.floor(freeTokens))} free`,
+        });
         continue;
       }
       const scored = this.#score(job, engine);
@@ -106,43 +109,43 @@
         passedOver.push({ candidate: engine.id, why: `busy ${scored.aheadMs.toFixed(0)} ms` });
         continue;
       }
-      open.push(scored);
+      eligible.push(scored);
     }
-    return this.#best(open, passedOver, random);
+    return this.#chooseBest(eligible, passedOver, random);
   }
 
-  #score(job: PlacementJob, engine: EngineState): Scored {
+  #score(job: PlacementJob, engine: EngineState): ScoredEngine {
     const cachedTokens = this.settings.useAffinity
       ? Math.min(job.promptTokens, job.cachedTokens(engine.id))
       : 0;
     const aheadTokens = prefillTokensAtOrAbove(engine, job.priority);
     const aheadMs = aheadTokens / engine.prefillTokensPerMs;
-    const ownMs = (job.promptTokens - cachedTokens) / engine.prefillTokensPerMs;
+    const ownPrefillMs = (job.promptTokens - cachedTokens) / engine.prefillTokensPerMs;
     const zoneMs = engine.zone === job.zone ? 0 : this.settings.otherZoneMs;
-    const hasLowerWork = engine.prefillTokens > aheadTokens;
-    const stepMs = hasLowerWork ? this.settings.stepMs : 0;
-    const runningMs = engine.running * RUNNING_MS;
-    const startMs = aheadMs + ownMs + zoneMs + stepMs + runningMs;
+    const hasLowerPriorityWork = engine.prefillTokens > aheadTokens;
+    const stepMs = hasLowerPriorityWork ? this.settings.stepMs : 0;
+    const runningMs = engine.running * RUNNING_SEQUENCE_STEP_MS;
+    const startMs = aheadMs + ownPrefillMs + zoneMs + stepMs + runningMs;
     return { engine, startMs, aheadMs, cachedTokens };
   }
 
   /** The best of a few at random, and of those that the cache favours. */
-  #best(
-    open: readonly Scored[],
+  #chooseBest(
+    eligible: readonly ScoredEngine[],
     passedOver: readonly RejectedEngine[],
     random: RandomSource,
   ): PlacementChoice {
-    const cached = open.filter((scored) => scored.cachedTokens > 0);
-    const few = pickSome(open, this.settings.randomChoices, random);
-    let best: Scored | undefined;
-    for (const scored of [...few, ...cached]) {
+    const cached = eligible.filter((scored) => scored.cachedTokens > 0);
+    const sampled = pickSome(eligible, this.settings.randomChoices, random);
+    let best: ScoredEngine | undefined;
+    for (const scored of [...sampled, ...cached]) {
       if (!best || scored.startMs < best.startMs) best = scored;
     }
     if (!best) {
       const first = passedOver[0];
       return { kind: 'wait', why: first ? `${first.candidate} ${first.why}` : 'no engine' };
     }
-    const others = few
+    const others = sampled
       .filter((scored) => scored !== best)
       .map(({ engine, startMs }) => ({
         candidate: engine.id,
--- a/packages/policy/src/prefix-index.ts
+++ b/packages/policy/src/prefix-index.ts
@@ -22,19 +22,19 @@
   }
 
   /** Takes one line; false at a gap, after which the index is empty until the next whole list. */
-  apply(line: CacheEvent): boolean {
-    if ('all' in line) {
-      this.#blocks = new Set(line.all);
-      this.#sequence = line.sequence;
+  apply(event: CacheEvent): boolean {
+    if ('all' in event) {
+      this.#blocks = new Set(event.all);
+      this.#sequence = event.sequence;
       return true;
     }
-    if (this.#sequence === undefined || line.sequence !== this.#sequence + 1) {
+    if (this.#sequence === undefined || event.sequence !== this.#sequence + 1) {
       this.clear();
       return false;
     }
-    this.#sequence = line.sequence;
-    for (const block of line.added) this.#blocks.add(block);
-    for (const block of line.removed) this.#blocks.delete(block);
+    this.#sequence = event.sequence;
+    for (const block of event.added) this.#blocks.add(block);
+    for (const block of event.removed) this.#blocks.delete(block);
     return true;
   }
 
--- a/packages/policy/src/waiting/wait-queue.test.ts
+++ b/packages/policy/src/waiting/wait-queue.test.ts
@@ -56,8 +56,8 @@
       queue.enqueue(entry(`double${String(index)}`, more));
     }
     const first = drain(queue, 15);
-    const doubles = first.filter((item) => item.startsWith('double')).length;
-    expect(doubles).toBe(10);
+    const doubleWeightCount = first.filter((item) => item.startsWith('double')).length;
+    expect(doubleWeightCount).toBe(10);
   });
 
   it('displaces lower priority when full, and refuses equal priority', () => {
--- a/packages/policy/src/waiting/wait-queue.ts
+++ b/packages/policy/src/waiting/wait-queue.ts
@@ -17,7 +17,7 @@
   readonly expiresAtMs: Milliseconds;
 }
 
-interface Queued<Item> extends WaitingEntry<Item> {
+interface QueuedEntry<Item> extends WaitingEntry<Item> {
   /** Start tag of start-time fair queueing, in tokens divided by weight. */
   readonly startTag: number;
   readonly arrival: number;
@@ -27,7 +27,7 @@
 export type EnqueueResult<Item> =
   { readonly isQueued: true; readonly displaced: readonly Item[] } | { readonly isQueued: false };
 
-function compare<Item>(a: Queued<Item>, b: Queued<Item>): number {
+function compareEntries<Item>(a: QueuedEntry<Item>, b: QueuedEntry<Item>): number {
   return b.priority - a.priority || a.startTag - b.startTag || a.arrival - b.arrival;
 }
 
@@ -37,7 +37,7 @@
  * for each rule, where higher priority displaces lower.
  */
 export class WaitQueue<Item> {
-  #entries: Queued<Item>[] = [];
+  #entries: QueuedEntry<Item>[] = [];
   readonly #finishTags = new Map<string, number>();
   readonly #tokensByRule = new Map<string, number>();
   #virtualTime = 0;
@@ -63,9 +63,9 @@
   }
 
   enqueue(entry: WaitingEntry<Item>): EnqueueResult<Item> {
-    const victims = this.#victimsFor(entry);
+    const victims = this.#selectVictims(entry);
     if (!victims) return { isQueued: false };
-    for (const victim of victims) this.#drop(victim);
+    for (const victim of victims) this.#removeEntry(victim);
     const tagKey = `${String(entry.priority)}/${entry.workspace}`;
     const startTag = Math.max(this.#virtualTime, this.#finishTags.get(tagKey) ?? 0);
     this.#finishTags.set(tagKey, startTag + entry.tokens / entry.weight);
@@ -75,55 +75,56 @@
   }
 
   /** Entries of lower priority to make room for; undefined where that isn't enough. */
-  #victimsFor(entry: WaitingEntry<Item>): readonly Queued<Item>[] | undefined {
-    let excess = (this.#tokensByRule.get(entry.rule) ?? 0) + entry.tokens - entry.maxQueuedTokens;
-    const victims: Queued<Item>[] = [];
-    for (let index = this.#entries.length - 1; index >= 0 && excess > 0; index -= 1) {
+  #selectVictims(entry: WaitingEntry<Item>): readonly QueuedEntry<Item>[] | undefined {
+    let excessTokens =
+      (this.#tokensByRule.get(entry.rule) ?? 0) + entry.tokens - entry.maxQueuedTokens;
+    const victims: QueuedEntry<Item>[] = [];
+    for (let index = this.#entries.length - 1; index >= 0 && excessTokens > 0; index -= 1) {
       const candidate = this.#entries[index];
       if (!candidate || candidate.priority >= entry.priority) break;
       if (candidate.rule !== entry.rule) continue;
       victims.push(candidate);
-      excess -= candidate.tokens;
+      excessTokens -= candidate.tokens;
     }
-    return excess > 0 ? undefined : victims;
+    return excessTokens > 0 ? undefined : victims;
   }
 
-  #insert(entry: Queued<Item>): void {
+  #insert(entry: QueuedEntry<Item>): void {
     let low = 0;
     let high = this.#entries.length;
     while (low < high) {
       const middle = (low + high) >> 1;
       const other = this.#entries[middle];
-      if (other && compare(other, entry) <= 0) low = middle + 1;
+      if (other && compareEntries(other, entry) <= 0) low = middle + 1;
       else high = middle;
     }
     this.#entries.splice(low, 0, entry);
-    this.#count(entry, entry.tokens);
+    this.#addToTotals(entry, entry.tokens);
   }
 
-  #count(entry: Queued<Item>, tokens: number): void {
+  #addToTotals(entry: QueuedEntry<Item>, tokens: number): void {
     this.#tokens += tokens;
     this.#tokensByRule.set(entry.rule, (this.#tokensByRule.get(entry.rule) ?? 0) + tokens);
   }
 
-  #drop(entry: Queued<Item>): void {
+  #removeEntry(entry: QueuedEntry<Item>): void {
     const index = this.#entries.indexOf(entry);
     if (index < 0) return;
     this.#entries.splice(index, 1);
-    this.#count(entry, -entry.tokens);
+    this.#addToTotals(entry, -entry.tokens);
   }
 
   /** Takes an entry out, e.g. because its caller went away. */
   remove(item: Item): boolean {
     const entry = this.#entries.find((candidate) => candidate.item === item);
-    if (entry) this.#drop(entry);
+    if (entry) this.#removeEntry(entry);
     return entry !== undefined;
   }
 
   /** Takes out all whose wait has ended. */
   takeExpired(nowMs: Milliseconds): readonly Item[] {
     const expired = this.#entries.filter((entry) => entry.expiresAtMs <= nowMs);
-    for (const entry of expired) this.#drop(entry);
+    for (const entry of expired) this.#removeEntry(entry);
     return expired.map((entry) => entry.item);
   }
 
@@ -142,15 +143,15 @@
    * never holds up a short one.
    */
   startInOrder(tryStart: (item: Item) => boolean): void {
-    const blocked = new Set<string>();
+    const blockedGroups = new Set<string>();
     for (const entry of [...this.#entries]) {
-      if (blocked.has(entry.group)) continue;
+      if (blockedGroups.has(entry.group)) continue;
       if (!tryStart(entry.item)) {
-        blocked.add(entry.group);
+        blockedGroups.add(entry.group);
         continue;
       }
       this.#virtualTime = Math.max(this.#virtualTime, entry.startTag);
-      this.#drop(entry);
+      this.#removeEntry(entry);
     }
     if (this.#entries.length === 0) this.#finishTags.clear();
   }
--- a/packages/policy/src/work-estimate.ts
+++ b/packages/policy/src/work-estimate.ts
@@ -1,4 +1,4 @@
-const SMOOTHING = 0.05;
+const SMOOTHING_FACTOR = 0.05;
 const MIN_FACTOR = 0.25;
 const MAX_FACTOR = 4;
 
@@ -30,6 +30,6 @@
     if (estimatedTokens <= 0 || actualTokens <= 0) return;
     const ratio = Math.min(MAX_FACTOR, Math.max(MIN_FACTOR, actualTokens / estimatedTokens));
     const factor = this.#factors.get(className) ?? INITIAL_FACTOR;
-    this.#factors.set(className, factor + SMOOTHING * (ratio - factor));
+    this.#factors.set(className, factor + SMOOTHING_FACTOR * (ratio - factor));
   }
 }
--- a/packages/state/src/config/configuration-holder.ts
+++ b/packages/state/src/config/configuration-holder.ts
@@ -23,7 +23,7 @@
   /** Takes a whole configuration; false if it isn't newer. */
   replace(next: Configuration): boolean {
     if (next.revision <= this.#current.revision) return false;
-    this.#set(next, undefined);
+    this.#activate(next, undefined);
     return true;
   }
 
@@ -32,14 +32,14 @@
    * `gap` tells the caller to ask for what is missing.
    */
   advance(after: number, changes: readonly ObjectChange[]): 'advanced' | 'old' | 'gap' {
-    const fresh = changes.filter((change) => change.revision > this.#current.revision);
-    if (fresh.length === 0) return 'old';
+    const newChanges = changes.filter((change) => change.revision > this.#current.revision);
+    if (newChanges.length === 0) return 'old';
     if (after > this.#current.revision) return 'gap';
-    this.#set(this.#current.advance(fresh), fresh);
+    this.#activate(this.#current.advance(newChanges), newChanges);
     return 'advanced';
   }
 
-  #set(next: Configuration, changes: readonly ObjectChange[] | undefined): void {
+  #activate(next: Configuration, changes: readonly ObjectChange[] | undefined): void {
     this.#current = next;
     for (const listener of this.#listeners) listener(next, changes);
   }
--- a/packages/state/src/config/configuration-reader.ts
+++ b/packages/state/src/config/configuration-reader.ts
@@ -12,8 +12,8 @@
 
 /** Keeps a holder up to date from the table; one read at a time. */
 export class ConfigurationReader {
-  #contactAtMs: Milliseconds | undefined;
-  #reading: Promise<ReadChanges | undefined> | undefined;
+  #lastResponseAtMs: Milliseconds | undefined;
+  #currentRead: Promise<ReadChanges | undefined> | undefined;
 
   constructor(
     readonly holder: ConfigurationHolder,
@@ -23,32 +23,32 @@
 
   /** Monotonic time of the last answer from the table. */
   get lastResponseAtMs(): Milliseconds | undefined {
-    return this.#contactAtMs;
+    return this.#lastResponseAtMs;
   }
 
   /** Reads what is new; the changes are returned where they could be read one by one. */
   poll(): Promise<ReadChanges | undefined> {
-    this.#reading ??= this.#read().finally(() => {
-      this.#reading = undefined;
+    this.#currentRead ??= this.#read().finally(() => {
+      this.#currentRead = undefined;
     });
-    return this.#reading;
+    return this.#currentRead;
   }
 
   #read(): Promise<ReadChanges | undefined> {
-    return this.holder.current.revision === 0 ? this.#readAll() : this.#readNew();
+    return this.holder.current.revision === 0 ? this.#readAll() : this.#readChanges();
   }
 
   async #readAll(): Promise<undefined> {
     const read = await readConfiguration(this.table);
     if (read.isErr) return;
-    this.#contactAtMs = this.clock.monotonicMs();
+    this.#lastResponseAtMs = this.clock.monotonicMs();
     this.holder.replace(read.value);
   }
 
-  async #readNew(): Promise<ReadChanges | undefined> {
+  async #readChanges(): Promise<ReadChanges | undefined> {
     const head = await readHeadRevision(this.table);
     if (head.isErr) return undefined;
-    this.#contactAtMs = this.clock.monotonicMs();
+    this.#lastResponseAtMs = this.clock.monotonicMs();
     const after = this.holder.current.revision;
     if (head.value <= after) return undefined;
     const changes = await readChangesAfter(this.table, after);
--- a/packages/state/src/config/apply-change.ts
+++ b/packages/state/src/config/configuration-writer.ts
@@ -12,8 +12,8 @@
   headSchema,
   objectKey,
   objectRowSchema,
-} from './rows.js';
-import type { AuditRow } from './rows.js';
+} from './configuration-rows.js';
+import type { AuditRow } from './configuration-rows.js';
 
 /** One object to write or delete. */
 export interface ObjectWrite {
@@ -39,27 +39,27 @@
   readonly isRepeat: boolean;
 }
 
-interface Before {
+interface PreviousState {
   readonly row: TableRow | undefined;
   readonly revision: number;
   readonly object: ConfigObject | null;
 }
 
-const MAX_TRIES = 12;
+const MAX_ATTEMPTS = 12;
 const RETRY_BASE_MS = 5;
-const FIRST_REVISION = 1;
+const REVISION_INCREMENT = 1;
 
 function storeFault(error: StoreFault): Fault {
   const code = error.reason === 'unconfirmed' ? 'store_unconfirmed' : 'store_down';
   return fault(code, error.detail);
 }
 
-async function readBefore(
+async function readPreviousState(
   table: TableStore,
   write: ObjectWrite,
-): Promise<Result<Before, StoreFault>> {
+): Promise<Result<PreviousState, StoreFault>> {
   const row = await table.get(objectKey(write.id));
-  return row.map((found): Before => {
+  return row.map((found): PreviousState => {
     if (!found) return { row: undefined, revision: 0, object: null };
     return { row: found, ...objectRowSchema.parse(found.value) };
   });
@@ -75,18 +75,18 @@
   /** Applies a change whole or not at all. Racing changes of other objects are waited out. */
   async apply(request: ChangeRequest): Promise<Result<AcceptedChange, Fault>> {
     const changeId = request.changeId ?? randomId();
-    const earlier = await this.#findEarlier(changeId);
-    if (earlier.isErr) return Result.err(storeFault(earlier.error));
-    if (earlier.value) return Result.ok({ audit: earlier.value, isRepeat: true });
-    for (let attempt = 1; attempt <= MAX_TRIES; attempt += 1) {
-      const tried = await this.#tryOnce(request, changeId);
-      if (tried !== 'raced') return tried;
+    const previousAudit = await this.#findAcceptedChange(changeId);
+    if (previousAudit.isErr) return Result.err(storeFault(previousAudit.error));
+    if (previousAudit.value) return Result.ok({ audit: previousAudit.value, isRepeat: true });
+    for (let attempt = 1; attempt <= MAX_ATTEMPTS; attempt += 1) {
+      const result = await this.#attemptChange(request, changeId);
+      if (result !== 'raced') return result;
       await delay(this.clock, Math.random() * RETRY_BASE_MS * attempt);
     }
     return Result.err(fault('store_down', 'too many changes at once; apply again'));
   }
 
-  async #findEarlier(changeId: string): Promise<Result<AuditRow | undefined, StoreFault>> {
+  async #findAcceptedChange(changeId: string): Promise<Result<AuditRow | undefined, StoreFault>> {
     const row = await this.table.get(changeIdKey(changeId));
     if (row.isErr) return Result.err(row.error);
     if (!row.value) return Result.ok(undefined);
@@ -95,31 +95,31 @@
     return audit.map((found) => (found ? auditRowSchema.parse(found.value) : undefined));
   }
 
-  async #tryOnce(
+  async #attemptChange(
     request: ChangeRequest,
     changeId: string,
   ): Promise<Result<AcceptedChange, Fault> | 'raced'> {
     const headRow = await this.table.get(HEAD_KEY);
     if (headRow.isErr) return Result.err(storeFault(headRow.error));
-    const befores: Before[] = [];
+    const previousStates: PreviousState[] = [];
     for (const write of request.writes) {
-      const before = await readBefore(this.table, write);
+      const before = await readPreviousState(this.table, write);
       if (before.isErr) return Result.err(storeFault(before.error));
       if (write.expected !== undefined && write.expected !== before.value.revision) {
-        return Result.err(await this.#conflict(write, before.value));
+        return Result.err(await this.#conflictFault(write, before.value));
       }
-      befores.push(before.value);
+      previousStates.push(before.value);
     }
     const head = headRow.value ? headSchema.parse(headRow.value.value).revision : 0;
-    const audit = this.#auditRow(request, changeId, head + FIRST_REVISION, befores);
-    return this.#commit(headRow.value, audit, request, befores);
+    const audit = this.#auditRow(request, changeId, head + REVISION_INCREMENT, previousStates);
+    return this.#commit(headRow.value, audit, request, previousStates);
   }
 
   #auditRow(
     request: ChangeRequest,
     changeId: string,
     revision: number,
-    befores: readonly Before[],
+    previousStates: readonly PreviousState[],
   ): AuditRow {
     return {
       revision,
@@ -129,7 +129,7 @@
       why: request.why,
       changes: request.writes.map(({ id, after }, index) => ({
         id,
-        before: befores[index]?.object ?? null,
+        before: previousStates[index]?.object ?? null,
         after,
       })),
     };
@@ -139,7 +139,7 @@
     head: TableRow | undefined,
     audit: AuditRow,
     request: ChangeRequest,
-    befores: readonly Before[],
+    previousStates: readonly PreviousState[],
   ): Promise<Result<AcceptedChange, Fault> | 'raced'> {
     const { revision, changeId } = audit;
     const objects = request.writes.flatMap(({ id, after }) =>
@@ -151,7 +151,7 @@
         { key: changeIdKey(changeId), version: 0 },
         ...request.writes.map(({ id }, index) => ({
           key: objectKey(id),
-          version: befores[index]?.row?.version ?? 0,
+          version: previousStates[index]?.row?.version ?? 0,
         })),
       ],
       puts: [
@@ -165,30 +165,30 @@
     if (sent.isOk) {
       return sent.value.kind === 'applied' ? Result.ok({ audit, isRepeat: false }) : 'raced';
     }
-    return this.#readBack(changeId, sent.error);
+    return this.#readBackOutcome(changeId, sent.error);
   }
 
   /** The answer to the write was lost: whether it took effect is read from the table. */
-  async #readBack(
+  async #readBackOutcome(
     changeId: string,
     error: StoreFault,
   ): Promise<Result<AcceptedChange, Fault> | 'raced'> {
     if (error.reason === 'unavailable') return Result.err(storeFault(error));
-    const earlier = await this.#findEarlier(changeId);
-    if (earlier.isErr) return Result.err(storeFault(error));
-    if (earlier.value) return Result.ok({ audit: earlier.value, isRepeat: false });
+    const accepted = await this.#findAcceptedChange(changeId);
+    if (accepted.isErr) return Result.err(storeFault(error));
+    if (accepted.value) return Result.ok({ audit: accepted.value, isRepeat: false });
     return 'raced';
   }
 
-  async #conflict(write: ObjectWrite, before: Before): Promise<Fault> {
+  async #conflictFault(write: ObjectWrite, before: PreviousState): Promise<Fault> {
     const row = await this.table.get(auditKey(before.revision));
     const other = row.isOk && row.value ? auditRowSchema.parse(row.value.value) : undefined;
-    const by = other
+    const cause = other
       ? `change ${other.changeId} by ${other.operator} ("${other.why}")`
       : 'it does not exist';
     const detail =
       `${write.id}: you changed revision ${String(write.expected)}, ` +
-      `it is now at ${String(before.revision)}: ${by}`;
+      `it is now at ${String(before.revision)}: ${cause}`;
     return fault('conflict', detail, { path: write.id });
   }
 }
--- a/packages/state/src/config/configuration.test.ts
+++ b/packages/state/src/config/configuration.test.ts
@@ -4,7 +4,7 @@
 import type { CallFate } from '@poppypond/mocks';
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
-import { ConfigurationWriter, toObjectWrite } from './apply-change.js';
+import { ConfigurationWriter, toObjectWrite } from './configuration-writer.js';
 import { ConfigurationHolder } from './configuration-holder.js';
 import { ConfigurationReader } from './configuration-reader.js';
 import { readConfiguration } from './read-configuration.js';
@@ -16,10 +16,10 @@
   return object;
 }
 
-const INSTANT = { schedule: <Value>(task: Promise<Value>) => task };
+const IMMEDIATE_SCHEDULER = { schedule: <Value>(task: Promise<Value>) => task };
 
 /** Operators race while answers are lost; checks the order of revisions and what was accepted. */
-function raceProperty(makeRows: () => MemoryRows) {
+function concurrentChangesProperty(makeRows: () => MemoryRows) {
   const fate = fc.constantFrom<CallFate>('ok', 'ok', 'ok', 'ok', 'lost', 'down');
   const change = fc.record({
     name: fc.constantFrom('a', 'b'),
@@ -58,13 +58,13 @@
           accepted.set(changeId, revision);
         }
       };
-      const watch = async () => {
+      const pollRepeatedly = async () => {
         for (let polls = 0; polls < 6; polls += 1) {
           await reader.poll();
           seen.push(reader.holder.current.revision);
         }
       };
-      const all = [...changes.map((one, index) => apply(index, one)), watch()];
+      const all = [...changes.map((one, index) => apply(index, one)), pollRepeatedly()];
       await scheduler.waitFor(Promise.all(all));
       expect(seen).toEqual([...seen].sort((a, b) => a - b));
       expect(new Set(accepted.values()).size).toBe(accepted.size);
@@ -81,7 +81,7 @@
   it('names both changes when operators race on one object', async () => {
     const writer = new ConfigurationWriter(
       new MemoryTable(new MemoryRows()),
-      new ScheduledClock(INSTANT),
+      new ScheduledClock(IMMEDIATE_SCHEDULER),
     );
     const create = { operator: 'ann', why: 'new', writes: [toObjectWrite(workspace('a', 1), 0)] };
     expect((await writer.apply(create)).isOk).toBe(true);
@@ -95,17 +95,17 @@
 
   it('accepts each change once, in one order, whatever is lost; readers never go back', async () => {
     await fc.assert(
-      raceProperty(() => new MemoryRows()),
+      concurrentChangesProperty(() => new MemoryRows()),
       { seed: 23, numRuns: 1000 },
     );
   });
 
   it('is found out by the checker when the store does not check', async () => {
-    const planted = await fc.check(
-      raceProperty(() => new UncheckedRows()),
+    const checked = await fc.check(
+      concurrentChangesProperty(() => new UncheckedRows()),
       { seed: 23 },
     );
-    expect(planted.failed).toBe(true);
+    expect(checked.failed).toBe(true);
   });
 });
 
--- a/packages/state/src/config/read-configuration.ts
+++ b/packages/state/src/config/read-configuration.ts
@@ -11,7 +11,7 @@
   headSchema,
   OBJECT_PREFIX,
   objectRowSchema,
-} from './rows.js';
+} from './configuration-rows.js';
 
 /** The revision of the newest accepted change; 0 before the first. */
 export async function readHeadRevision(table: TableStore): Promise<Result<number, StoreFault>> {
--- a/packages/state/src/decisions/decision-log.ts
+++ b/packages/state/src/decisions/decision-log.ts
@@ -24,7 +24,7 @@
   return `${SEGMENT_PREFIX}${host}/${String(Math.floor(wallMs)).padStart(TIME_DIGITS, '0')}`;
 }
 
-function segmentTime(name: string): Milliseconds {
+function segmentWallMs(name: string): Milliseconds {
   return Number(name.slice(-TIME_DIGITS));
 }
 
@@ -36,7 +36,7 @@
     .flatMap((parsed) => (parsed.success ? [parsed.data] : []));
 }
 
-function isInQuery(decision: Decision, query: DecisionQuery): boolean {
+function matchesQuery(decision: Decision, query: DecisionQuery): boolean {
   return (
     decision.wallMs >= query.fromWallMs &&
     decision.wallMs <= query.toWallMs &&
@@ -53,8 +53,8 @@
   readonly #ring: Decision[] = [];
   /** Lines that no segment holds yet; written out at once, so that a flush is no long pause. */
   #unsaved: string[] = [];
-  #uncopied: Decision[] = [];
-  readonly #copies = new Map<string, Decision[]>();
+  #unreplicated: Decision[] = [];
+  readonly #peerDecisions = new Map<string, Decision[]>();
   lost = 0;
   saved = 0;
 
@@ -73,7 +73,7 @@
     this.#ring.push(decision);
     if (this.#ring.length > this.ringSize * 2) this.#ring.splice(0, this.ringSize);
     this.#unsaved.push(JSON.stringify(decision));
-    this.#uncopied.push(decision);
+    this.#unreplicated.push(decision);
     if (this.#unsaved.length > this.ringSize) {
       this.#unsaved.shift();
       this.lost += 1;
@@ -82,15 +82,15 @@
 
   /** Decisions since the last call, for a copy at a peer. */
   takeUnreplicated(): readonly Decision[] {
-    const fresh = this.#uncopied;
-    this.#uncopied = [];
-    return fresh;
+    const unreplicated = this.#unreplicated;
+    this.#unreplicated = [];
+    return unreplicated;
   }
 
   /** Keeps a peer's newest decisions until the peer has saved them itself. */
   storePeerDecisions(host: string, decisions: readonly Decision[]): void {
-    const kept = [...(this.#copies.get(host) ?? []), ...decisions];
-    this.#copies.set(host, kept.slice(-this.ringSize));
+    const kept = [...(this.#peerDecisions.get(host) ?? []), ...decisions];
+    this.#peerDecisions.set(host, kept.slice(-this.ringSize));
   }
 
   /** Writes what is unsaved as one segment; on failure it is kept for the next time. */
@@ -107,8 +107,8 @@
 
   /** What this host holds in memory about a request. */
   findLocal(requestId: string): readonly Decision[] {
-    const copies = [...this.#copies.values()].flat();
-    return [...this.#ring, ...copies].filter((decision) => decision.requestId === requestId);
+    const peerDecisions = [...this.#peerDecisions.values()].flat();
+    return [...this.#ring, ...peerDecisions].filter((decision) => decision.requestId === requestId);
   }
 
   /** All that memory and the object store hold about a request, in order of time. */
@@ -116,7 +116,7 @@
     const parsed = parseRequestId(requestId);
     if (!parsed) return Result.ok([]);
     const { host, wallMs } = parsed;
-    const stored = await this.#read(
+    const stored = await this.#readSegments(
       host,
       wallMs,
       wallMs + SEARCH_WINDOW_MS,
@@ -129,38 +129,38 @@
 
   /** What this host holds in memory of a query. */
   queryLocal(query: DecisionQuery): readonly Decision[] {
-    const copies = [...this.#copies.values()].flat();
-    return [...this.#ring, ...copies].filter((decision) => isInQuery(decision, query));
+    const peerDecisions = [...this.#peerDecisions.values()].flat();
+    return [...this.#ring, ...peerDecisions].filter((decision) => matchesQuery(decision, query));
   }
 
   /** Decisions of all hosts whose labels are selected, in a time range. */
   async query(query: DecisionQuery): Promise<Result<readonly Decision[], StoreFault>> {
     const local = this.queryLocal(query);
-    const isWanted = (decision: Decision) => isInQuery(decision, query);
+    const isMatch = (decision: Decision) => matchesQuery(decision, query);
     const to = query.toWallMs + SEARCH_WINDOW_MS;
-    const stored = await this.#read('', query.fromWallMs, to, isWanted);
+    const stored = await this.#readSegments('', query.fromWallMs, to, isMatch);
     if (stored.isErr) return local.length > 0 ? Result.ok(local) : Result.err(stored.error);
     return Result.ok(mergeDecisions(stored.value, local));
   }
 
-  async #read(
+  async #readSegments(
     host: string,
     fromWallMs: Milliseconds,
     toWallMs: Milliseconds,
-    isWanted: (decision: Decision) => boolean,
+    isMatch: (decision: Decision) => boolean,
   ): Promise<Result<readonly Decision[], StoreFault>> {
     const prefix = host === '' ? SEGMENT_PREFIX : `${SEGMENT_PREFIX}${host}/`;
     const names = await this.objects.list(prefix, host === '' ? '' : segmentName(host, fromWallMs));
     if (names.isErr) return Result.err(names.error);
     const inRange = names.value.filter((name) => {
-      const time = segmentTime(name);
+      const time = segmentWallMs(name);
       return time >= fromWallMs && time <= toWallMs;
     });
     const found: Decision[] = [];
     for (const name of inRange.slice(0, MAX_SEGMENTS_READ)) {
       const segment = await this.objects.get(name);
       if (segment.isErr) return Result.err(segment.error);
-      found.push(...parseSegment(segment.value ?? '').filter(isWanted));
+      found.push(...parseSegment(segment.value ?? '').filter(isMatch));
     }
     return Result.ok(found);
   }
--- a/packages/state/src/lease/lease.test.ts
+++ b/packages/state/src/lease/lease.test.ts
@@ -16,17 +16,17 @@
 });
 
 /** Three hosts tick, pause and release in any order; at most one holds, and fences only rise. */
-function holderProperty(makeRows: () => MemoryRows) {
+function exclusiveHolderProperty(makeRows: () => MemoryRows) {
   return fc.asyncProperty(fc.array(step, { maxLength: 60 }), async (steps) => {
     const rows = makeRows();
     const clock = new ManualClock();
     let fate: CallFate = 'ok';
     const leases = [0, 1, 2].map((host) => {
-      const pause = () => clockPause(clock);
+      const pause = () => delayCall(clock);
       const table = new MemoryTable(rows, () => fate, pause);
       return new Lease('pool', newOwner(`h${String(host)}`), table, clock, DURATION_MS);
     });
-    let newest = 0;
+    let highestFence = 0;
     for (const next of steps) {
       fate = next.fate;
       const lease = leases[next.host];
@@ -36,15 +36,15 @@
       const held = leases.flatMap((one) => one.held() ?? []);
       expect(held.length).toBeLessThanOrEqual(1);
       for (const { fence } of held) {
-        expect(fence).toBeGreaterThanOrEqual(newest);
-        newest = fence;
+        expect(fence).toBeGreaterThanOrEqual(highestFence);
+        highestFence = fence;
       }
     }
   });
 }
 
 /** Each call of the table takes some time before and after its effect, so that hosts overlap. */
-function clockPause(clock: ManualClock): Promise<void> {
+function delayCall(clock: ManualClock): Promise<void> {
   return new Promise((resolve) => {
     clock.after(CALL_MS, resolve);
   });
@@ -53,17 +53,17 @@
 describe('Lease', () => {
   it('is never held by two at once, and its fencing token only rises with the holder', async () => {
     await fc.assert(
-      holderProperty(() => new MemoryRows()),
+      exclusiveHolderProperty(() => new MemoryRows()),
       { seed: 22, numRuns: 1000 },
     );
   });
 
   it('is found out by the checker when the store does not check', async () => {
-    const planted = await fc.check(
-      holderProperty(() => new UncheckedRows()),
+    const checked = await fc.check(
+      exclusiveHolderProperty(() => new UncheckedRows()),
       { seed: 22, numRuns: 1000 },
     );
-    expect(planted.failed).toBe(true);
+    expect(checked.failed).toBe(true);
   });
 
   it('is taken from a holder that is paused, which then knows that it has lost it', async () => {
--- a/packages/state/src/lease/lease.ts
+++ b/packages/state/src/lease/lease.ts
@@ -12,9 +12,9 @@
 type LeaseRow = z.infer<typeof leaseRowSchema>;
 
 /** Share of the duration after which the holder renews. */
-const RENEW_SHARE = 1 / 3;
+const RENEW_FRACTION = 1 / 3;
 /** Share of the duration that the holder gives up early, for clocks that run at unlike rates. */
-const SAFETY_SHARE = 0.15;
+const SAFETY_FRACTION = 0.15;
 
 /** A lease that is held. */
 export interface HeldLease {
@@ -24,7 +24,7 @@
   readonly validUntilMs: Milliseconds;
 }
 
-interface Observed {
+interface ObservedVersion {
   readonly version: number;
   readonly sinceMs: Milliseconds;
 }
@@ -36,7 +36,7 @@
  */
 export class Lease {
   #held: (HeldLease & { readonly version: number }) | undefined;
-  #observed: Observed | undefined;
+  #observed: ObservedVersion | undefined;
   readonly #key: string;
 
   constructor(
@@ -51,7 +51,7 @@
 
   /** How often `tick` is to be called. */
   get tickPeriodMs(): Milliseconds {
-    return this.durationMs * RENEW_SHARE;
+    return this.durationMs * RENEW_FRACTION;
   }
 
   /** The lease, if it is held and an order sent now would still be in time. */
@@ -68,7 +68,7 @@
     const current = row.value ? leaseRowSchema.parse(row.value.value) : undefined;
     if (current?.holder === ownerText(this.owner)) return this.#write(version, current);
     this.#held = undefined;
-    if (this.#isFree(version, current)) return this.#write(version, current);
+    if (this.#isAvailable(version, current)) return this.#write(version, current);
   }
 
   /** Gives the lease up so that another host needn't wait for it to lapse. */
@@ -83,11 +83,11 @@
     });
   }
 
-  #isFree(version: number, row: LeaseRow | undefined): boolean {
+  #isAvailable(version: number, row: LeaseRow | undefined): boolean {
     if (!row || row.holder === '') return true;
-    const now = this.clock.monotonicMs();
-    if (this.#observed?.version !== version) this.#observed = { version, sinceMs: now };
-    return now - this.#observed.sinceMs >= row.durationMs;
+    const nowMs = this.clock.monotonicMs();
+    if (this.#observed?.version !== version) this.#observed = { version, sinceMs: nowMs };
+    return nowMs - this.#observed.sinceMs >= row.durationMs;
   }
 
   async #write(version: number, row: LeaseRow | undefined): Promise<void> {
@@ -108,7 +108,7 @@
       this.#held = undefined;
       return;
     }
-    const validUntilMs = sentAtMs + this.durationMs * (1 - SAFETY_SHARE);
+    const validUntilMs = sentAtMs + this.durationMs * (1 - SAFETY_FRACTION);
     this.#held = { fence, validUntilMs, version: written.value.version };
   }
 }
--- a/packages/state/src/once/at-most-once-ledger.test.ts
+++ b/packages/state/src/once/at-most-once-ledger.test.ts
@@ -8,7 +8,7 @@
 const SEED = 21;
 const RUNS = 1000;
 
-interface Told {
+interface ReportedOutcome {
   readonly kind: 'ran' | 'replayed' | 'not_run' | 'unknown' | 'died';
   readonly hasRun: boolean;
   readonly answer?: string;
@@ -19,13 +19,13 @@
   host: fc.integer({ min: 0, max: 2 }),
   key: fc.constantFrom('k1', 'k2'),
   /** Where the host dies: before dispatch, after it, or not at all. */
-  dies: fc.constantFrom('no', 'no', 'before', 'after'),
+  crashPoint: fc.constantFrom('no', 'no', 'before', 'after'),
   /** Whether the service confirms that it did not run the call. */
   isRefused: fc.boolean(),
 });
 
 /** Sends calls at three hosts in any order of events and checks what ran against what was told. */
-function historyProperty(makeRows: () => MemoryRows) {
+function atMostOnceProperty(makeRows: () => MemoryRows) {
   return fc.asyncProperty(
     fc.scheduler(),
     fc.array(call, { minLength: 1, maxLength: 6 }),
@@ -42,9 +42,9 @@
       const send = async ({
         host,
         key,
-        dies,
+        crashPoint,
         isRefused,
-      }: (typeof calls)[number]): Promise<Told> => {
+      }: (typeof calls)[number]): Promise<ReportedOutcome> => {
         const ledger = ledgers[host];
         if (!ledger) throw new Error('no such host');
         const claimed = await ledger.claim('farms', key, 'hash');
@@ -55,7 +55,7 @@
         if (claimed.value.kind === 'ran_before') {
           return { kind: 'replayed', hasRun: false, answer: claimed.value.answer.body };
         }
-        if (dies === 'before') return { kind: 'died', hasRun: false };
+        if (crashPoint === 'before') return { kind: 'died', hasRun: false };
         await scheduler.schedule(Promise.resolve(), 'dispatch');
         if (isRefused) {
           ledger.recordNotRun(claimed.value.claim);
@@ -63,7 +63,7 @@
         }
         runs.set(key, (runs.get(key) ?? 0) + 1);
         const body = `${key}-receipt`;
-        if (dies === 'after') return { kind: 'died', hasRun: true };
+        if (crashPoint === 'after') return { kind: 'died', hasRun: true };
         ledger.recordRan(claimed.value.claim, { status: 200, contentType: 'text/plain', body });
         return { kind: 'ran', hasRun: true, answer: body };
       };
@@ -80,17 +80,17 @@
 describe('AtMostOnceLedger', () => {
   it('runs each key at most once, and tells nobody wrongly that it was not run', async () => {
     await fc.assert(
-      historyProperty(() => new MemoryRows()),
+      atMostOnceProperty(() => new MemoryRows()),
       { seed: SEED, numRuns: RUNS },
     );
   });
 
   it('is found out by the checker when the store does not check', async () => {
-    const planted = await fc.check(
-      historyProperty(() => new UncheckedRows()),
+    const checked = await fc.check(
+      atMostOnceProperty(() => new UncheckedRows()),
       { seed: SEED },
     );
-    expect(planted.failed).toBe(true);
+    expect(checked.failed).toBe(true);
   });
 
   it('refuses a key that comes again with another request, and frees one that was not run', async () => {
--- a/packages/state/src/once/at-most-once-ledger.ts
+++ b/packages/state/src/once/at-most-once-ledger.ts
@@ -7,13 +7,13 @@
 /** The prefix of the ledger's rows. */
 export const LEDGER_PREFIX = 'once/';
 
-const answerSchema = z.object({
+const responseSchema = z.object({
   status: z.int(),
   contentType: z.string(),
   body: z.string(),
 });
 
-const entrySchema = z.discriminatedUnion('state', [
+const ledgerEntrySchema = z.discriminatedUnion('state', [
   z.object({
     state: z.literal('claimed'),
     claimId: z.string(),
@@ -26,16 +26,16 @@
     claimId: z.string(),
     requestHash: z.string(),
     wallMs: z.number(),
-    answer: answerSchema,
+    answer: responseSchema,
   }),
   z.object({ state: z.literal('not_run'), claimId: z.string(), wallMs: z.number() }),
 ]);
 
 /** An entry of the ledger. */
-export type LedgerEntry = z.infer<typeof entrySchema>;
+export type LedgerEntry = z.infer<typeof ledgerEntrySchema>;
 
 /** A recorded answer. */
-export type RecordedAnswer = z.infer<typeof answerSchema>;
+export type RecordedResponse = z.infer<typeof responseSchema>;
 
 /** The right to run one call; only its holder dispatches it. */
 export interface Claim {
@@ -47,15 +47,15 @@
 /** Either the call may run now, or it ran before with this answer. */
 export type ClaimResult =
   | { readonly kind: 'claimed'; readonly claim: Claim }
-  | { readonly kind: 'ran_before'; readonly answer: RecordedAnswer };
+  | { readonly kind: 'ran_before'; readonly answer: RecordedResponse };
 
-const READ_BACK_TRIES = 3;
+const READ_BACK_ATTEMPTS = 3;
 const READ_BACK_DELAY_MS = 50;
-const OUTCOME_WAITS = 3;
-const OUTCOME_WAIT_MS = 60;
+const MAX_OUTCOME_POLLS = 3;
+const OUTCOME_POLL_MS = 60;
 const FLUSH_DELAY_MS = 25;
 const FLUSH_RETRY_MS = 500;
-const BUSY_RETRY_AFTER_MS = 1000;
+const IN_PROGRESS_RETRY_AFTER_MS = 1000;
 const STORE_RETRY_AFTER_MS = 2000;
 
 /** The row of a call; the key is encoded so that no workspace can name another's row. */
@@ -90,11 +90,11 @@
   ): Promise<Result<ClaimResult, Fault>> {
     const key = ledgerKey(workspace, idempotencyKey);
     const local = this.#outcomes.get(key);
-    if (local) return this.#meetEntry(key, requestHash, local, undefined);
-    return this.#write(key, requestHash, 0);
+    if (local) return this.#resolveEntry(key, requestHash, local, undefined);
+    return this.#writeClaim(key, requestHash, 0);
   }
 
-  async #write(
+  async #writeClaim(
     key: string,
     requestHash: string,
     version: number,
@@ -110,40 +110,42 @@
     const sent = await this.table.transact({ checks: [{ key, version }], puts: [{ key, value }] });
     if (sent.isOk && sent.value.kind === 'applied') return Result.ok({ kind: 'claimed', claim });
     if (sent.isErr && sent.error.reason === 'unavailable')
-      return Result.err(notStarted(sent.error));
+      return Result.err(storeUnavailableFault(sent.error));
     const row = await this.#readBack(key);
     if (row.isErr) {
-      this.#giveUp(claim);
-      return Result.err(notStarted(row.error));
+      this.#abandonClaim(claim);
+      return Result.err(storeUnavailableFault(row.error));
     }
-    const entry = row.value ? entrySchema.parse(row.value.value) : undefined;
+    const entry = row.value ? ledgerEntrySchema.parse(row.value.value) : undefined;
     if (entry?.claimId === claim.claimId) return Result.ok({ kind: 'claimed', claim });
     if (!entry) {
-      this.#giveUp(claim);
-      return Result.err(notStarted({ reason: 'unconfirmed', detail: 'the claim was not stored' }));
+      this.#abandonClaim(claim);
+      return Result.err(
+        storeUnavailableFault({ reason: 'unconfirmed', detail: 'the claim was not stored' }),
+      );
     }
-    if (sent.isErr) this.#giveUp(claim);
-    return this.#meetEntry(key, requestHash, entry, row.value);
+    if (sent.isErr) this.#abandonClaim(claim);
+    return this.#resolveEntry(key, requestHash, entry, row.value);
   }
 
   async #readBack(key: string): Promise<Result<TableRow | undefined, StoreFault>> {
     let row = await this.table.get(key);
-    for (let tries = 1; row.isErr && tries < READ_BACK_TRIES; tries += 1) {
+    for (let tries = 1; row.isErr && tries < READ_BACK_ATTEMPTS; tries += 1) {
       await delay(this.clock, READ_BACK_DELAY_MS);
       row = await this.table.get(key);
     }
     return row;
   }
 
-  #meetEntry(
+  #resolveEntry(
     key: string,
     requestHash: string,
     entry: LedgerEntry,
     row: TableRow | undefined,
-    waitsLeft = OUTCOME_WAITS,
+    pollsLeft = MAX_OUTCOME_POLLS,
   ): Result<ClaimResult, Fault> | Promise<Result<ClaimResult, Fault>> {
     if (entry.state === 'not_run') {
-      if (row) return this.#write(key, requestHash, row.version);
+      if (row) return this.#writeClaim(key, requestHash, row.version);
       return Result.err(inProgress());
     }
     if (entry.requestHash !== requestHash) {
@@ -152,8 +154,8 @@
       );
     }
     if (entry.state === 'ran') return Result.ok({ kind: 'ran_before', answer: entry.answer });
-    return row && waitsLeft > 0
-      ? this.#waitForOutcome(key, requestHash, waitsLeft)
+    return row && pollsLeft > 0
+      ? this.#waitForOutcome(key, requestHash, pollsLeft)
       : Result.err(inProgress());
   }
 
@@ -161,17 +163,17 @@
   async #waitForOutcome(
     key: string,
     requestHash: string,
-    waitsLeft: number,
+    pollsLeft: number,
   ): Promise<Result<ClaimResult, Fault>> {
-    await delay(this.clock, OUTCOME_WAIT_MS);
+    await delay(this.clock, OUTCOME_POLL_MS);
     const row = await this.table.get(key);
     if (row.isErr || !row.value) return Result.err(inProgress());
-    const entry = entrySchema.parse(row.value.value);
-    return this.#meetEntry(key, requestHash, entry, row.value, waitsLeft - 1);
+    const entry = ledgerEntrySchema.parse(row.value.value);
+    return this.#resolveEntry(key, requestHash, entry, row.value, pollsLeft - 1);
   }
 
   /** Records that the call ran with this answer; stored soon, and retried until it is. */
-  recordRan(claim: Claim, answer: RecordedAnswer): void {
+  recordRan(claim: Claim, answer: RecordedResponse): void {
     const { claimId, requestHash } = claim;
     const wallMs = this.clock.wallMs();
     this.#enqueue(claim.key, { state: 'ran', claimId, requestHash, wallMs, answer });
@@ -179,10 +181,10 @@
 
   /** Records that the call was not run, so that its key can be used again. */
   recordNotRun(claim: Claim): void {
-    this.#giveUp(claim);
+    this.#abandonClaim(claim);
   }
 
-  #giveUp(claim: Claim): void {
+  #abandonClaim(claim: Claim): void {
     const wallMs = this.clock.wallMs();
     this.#enqueue(claim.key, { state: 'not_run', claimId: claim.claimId, wallMs });
   }
@@ -202,7 +204,7 @@
 
   async #flush(): Promise<void> {
     const outcomes = [...this.#outcomes];
-    const stored = await this.#store(outcomes);
+    const stored = await this.#storeOutcomes(outcomes);
     for (const [key, entry] of stored) {
       if (this.#outcomes.get(key) === entry) this.#outcomes.delete(key);
     }
@@ -215,7 +217,7 @@
    * Writes outcomes in one transaction. `ran` needs no check: only the holder of the claim
    * writes the row. A tombstone must not overwrite another host's claim, so it is checked.
    */
-  async #store(
+  async #storeOutcomes(
     outcomes: readonly (readonly [string, LedgerEntry])[],
   ): Promise<readonly (readonly [string, LedgerEntry])[]> {
     const ran = outcomes.filter(([, entry]) => entry.state === 'ran');
@@ -236,7 +238,7 @@
   async #storeTombstone(key: string, entry: LedgerEntry): Promise<boolean> {
     const row = await this.table.get(key);
     if (row.isErr) return false;
-    const current = row.value ? entrySchema.parse(row.value.value) : undefined;
+    const current = row.value ? ledgerEntrySchema.parse(row.value.value) : undefined;
     if (current && current.claimId !== entry.claimId) return true;
     if (current?.state === 'not_run') return true;
     const version = row.value?.version ?? 0;
@@ -250,11 +252,11 @@
 
 function inProgress(): Fault {
   return fault('key_in_progress', 'ask again with the same key', {
-    retryAfterMs: BUSY_RETRY_AFTER_MS,
+    retryAfterMs: IN_PROGRESS_RETRY_AFTER_MS,
   });
 }
 
-function notStarted(error: StoreFault): Fault {
+function storeUnavailableFault(error: StoreFault): Fault {
   return fault('store_unavailable', error.detail, { retryAfterMs: STORE_RETRY_AFTER_MS });
 }
 
@@ -268,6 +270,6 @@
   nowWallMs: Milliseconds,
   retentionMs: Milliseconds,
 ): boolean {
-  const entry = entrySchema.safeParse(value);
+  const entry = ledgerEntrySchema.safeParse(value);
   return entry.success && nowWallMs - entry.data.wallMs > retentionMs;
 }
