--- a/packages/policy/src/decisions.test.ts
+++ b/packages/policy/src/decisions.test.ts
@@ -27,7 +27,7 @@
 }
 
 describe('EngineLoad', () => {
-  it('adds own dispatches that the report has not seen, once', () => {
+  it('adds own dispatches that the report does not include, each once', () => {
     const load = new EngineLoad('e', 'a', 100);
     load.onReport(report(), 0);
     const first = load.onDispatch({ prefillTokens: 5000, heldTokens: 6000, priority: 5 }, 10);
@@ -45,8 +45,8 @@
   });
 });
 
-describe('EngineLoad rate', () => {
-  it('is not learned from little work, which only shows the time of a step', () => {
+describe('EngineLoad prefill rate', () => {
+  it('ignores small samples, which show the time of a step and not the rate', () => {
     const load = new EngineLoad('e', 'a', 100);
     load.onReport(report(), 0);
     const smallDispatch = load.onDispatch({ prefillTokens: 2000, heldTokens: 0, priority: 5 }, 0);
@@ -62,7 +62,7 @@
 });
 
 describe('lanes', () => {
-  it('gives short requests a few engines and long ones the rest, by work', () => {
+  it('assigns a few engines to short requests and the rest to long ones, by work', () => {
     const sizes = new SizeHistogram();
     for (let index = 0; index < 980; index += 1) sizes.observe(1500);
     for (let index = 0; index < 20; index += 1) sizes.observe(400_000);
@@ -74,7 +74,7 @@
     expect(short).toBeLessThanOrEqual(6);
   });
 
-  it('keeps one lane where all requests are alike or few', () => {
+  it('keeps a single lane if the requests are alike or few', () => {
     const sizes = new SizeHistogram();
     sizes.observe(1000);
     expect(chooseLaneSplit(sizes.buckets(), 0.5)).toEqual(SINGLE_LANE);
@@ -83,7 +83,7 @@
 });
 
 describe('ServerHealth', () => {
-  it('sets a failing server aside, probes it with one request, then opens it', () => {
+  it('ejects a failing server, probes it with one request, then sends it full traffic', () => {
     const health = new ServerHealth();
     expect([health.onFailure(0), health.onFailure(0), health.onFailure(0)]).toEqual([
       false,
@@ -103,8 +103,8 @@
   });
 });
 
-describe('RetryAllowance', () => {
-  it('bounds retries to a share of first attempts', () => {
+describe('RetryBudget', () => {
+  it('bounds retries to a ratio of first attempts', () => {
     const budget = new RetryBudget(0.1, 3);
     let retries = 0;
     for (let attempt = 0; attempt < 1000; attempt += 1) {
@@ -116,7 +116,7 @@
 });
 
 describe('PrefixIndex', () => {
-  it('drops everything at a gap until the next whole list', () => {
+  it('is empty after a gap until the next full list', () => {
     const index = new PrefixIndex();
     index.apply({ sequence: 4, all: ['a', 'b'] });
     expect(index.cachedTokens(['a', 'b', 'c'])).toBe(2048);
@@ -141,7 +141,7 @@
     stepMs: 10,
   };
 
-  it('refuses what cannot finish, and says when to come back only if that would help', () => {
+  it('refuses a request that cannot finish, with a retry-after time only if a retry could finish', () => {
     expect(checkAdmission(input)).toBeUndefined();
     const late = checkAdmission({ ...input, queuedTokens: 100_000 });
     expect(late).toMatchObject({ code: 'cannot_finish', retryAfterMs: 200 });
@@ -150,8 +150,8 @@
   });
 });
 
-describe('shares', () => {
-  it("gives an idle host's share away and splits fairly between two that need more", () => {
+describe('share transfers', () => {
+  it('transfers the share of an idle host, and splits fairly between two hosts that need more', () => {
     expect(shareToTransfer({ share: 0.4, demand: 0 }, { share: 0, demand: 1 }, 1)).toBeCloseTo(0.4);
     expect(shareToTransfer({ share: 1, demand: 2 }, { share: 0, demand: 2 }, 1)).toBeCloseTo(0.5);
     expect(shareToTransfer({ share: 0.2, demand: 0.2 }, { share: 0.2, demand: 0.2 }, 1)).toBe(0);
--- a/packages/policy/src/engine-load.ts
+++ b/packages/policy/src/engine-load.ts
@@ -1,12 +1,12 @@
 import type { Milliseconds } from '@poppypond/core';
 
-/** Priorities run from 0 to 9. */
+/** Priorities range from 0, the lowest, to 9. */
 export const PRIORITY_COUNT = 10;
 
-/** What an engine reports of itself; late by the time it is read. */
+/** Load that an engine reports about itself; out of date by the time it is read. */
 export interface LoadReport {
   readonly sequence: number;
-  /** The last dispatch of this host that the report counts. */
+  /** Number of the last dispatch of this host that the report includes. */
   readonly seen: number;
   readonly running: number;
   readonly decoding: number;
@@ -17,18 +17,18 @@
   readonly kvTokens: number;
   readonly role: 'any' | 'long' | 'short';
   readonly isLeaving: boolean;
-  /** Model to version. */
+  /** Version of each loaded model, by model name. */
   readonly models: Readonly<Record<string, string>>;
 }
 
-/** Work that this host gave an engine. */
+/** Work that this host dispatched to an engine. */
 export interface DispatchedWork {
   readonly prefillTokens: number;
   readonly heldTokens: number;
   readonly priority: number;
 }
 
-/** What is believed of an engine when a decision is made. */
+/** Estimated state of an engine at the time of a decision. */
 export interface EngineState {
   readonly id: string;
   readonly zone: string;
@@ -46,18 +46,19 @@
 
 interface OutstandingWork extends DispatchedWork {
   readonly dispatchedAtMs: Milliseconds;
-  /** All prefill that was ahead of it, itself included. */
+  /** Prefill tokens queued at the dispatch up to and including this work. */
   readonly aheadTokens: number;
 }
 
 const RATE_SMOOTHING = 0.1;
 /**
- * Less work says more about the time of a step than about the rate: then the busier of two alike
- * engines looked faster and drew ever more requests.
+ * The prefill rate is learned only from samples of at least this size. Smaller ones measure the
+ * time of a step more than the rate, so that the busier of two equal engines appears faster and
+ * attracts ever more requests.
  */
 const MIN_SAMPLE_TOKENS = 8192;
 
-/** Stands in until the first report has come. */
+/** Used until the first report arrives. */
 const EMPTY_REPORT: LoadReport = {
   sequence: 0,
   seen: 0,
@@ -72,7 +73,7 @@
   models: {},
 };
 
-/** The load of one engine: its last report, corrected by this host's own dispatches since. */
+/** The load of one engine: its last report, corrected by the dispatches of this host that it does not include. */
 export class EngineLoad {
   #report: LoadReport | undefined;
   #reportAtMs: Milliseconds = 0;
@@ -103,7 +104,7 @@
     this.#cachedState = undefined;
   }
 
-  /** Notes work given to the engine; the number goes with the call and comes back in reports. */
+  /** Records work dispatched to the engine. Returns the dispatch number, which is sent with the call and reported as `seen`. */
   onDispatch(work: DispatchedWork, nowMs: Milliseconds): number {
     const state = this.state(nowMs);
     const aheadTokens = prefillTokensAtOrAbove(state, work.priority) + work.prefillTokens;
@@ -117,7 +118,7 @@
     return this.#lastDispatchNumber;
   }
 
-  /** Learns the prefill rate from the time that the first token took. */
+  /** Updates the prefill rate from the time to the first token. */
   onFirstToken(dispatch: number, nowMs: Milliseconds): void {
     const work = this.#outstanding.get(dispatch);
     if (!work || work.aheadTokens < MIN_SAMPLE_TOKENS) return;
@@ -130,7 +131,7 @@
     this.#cachedState = undefined;
   }
 
-  /** This host's own attempts that have not ended. */
+  /** Number of this host's own attempts that have not ended. */
   get outstandingCount(): number {
     return this.#outstanding.size;
   }
@@ -142,7 +143,7 @@
     return tokens;
   }
 
-  /** What is believed of the engine now. */
+  /** Estimated state of the engine now. */
   state(nowMs: Milliseconds): EngineState {
     this.#cachedState ??= this.#computeState();
     return { ...this.#cachedState, reportAgeMs: nowMs - this.#reportAtMs };
@@ -179,7 +180,7 @@
   }
 }
 
-/** Prompt tokens that an engine does before new work of this priority. */
+/** Prompt tokens that an engine prefills before new work of this priority. */
 export function prefillTokensAtOrAbove(state: EngineState, priority: number): number {
   let tokens = 0;
   for (let level = priority; level < PRIORITY_COUNT; level += 1) {
--- a/packages/policy/src/health/retry-budget.ts
+++ b/packages/policy/src/health/retry-budget.ts
@@ -1,6 +1,6 @@
 /**
- * Bounds retries to a share of first attempts, so that retries never multiply an overload.
- * Each first attempt earns `share` of a retry; at most `reserve` are saved up.
+ * Bounds retries to a ratio of first attempts, so that retries never multiply an overload.
+ * Each first attempt adds `share` of a retry to the budget, which holds at most `reserve` retries.
  */
 export class RetryBudget {
   #availableRetries: number;
@@ -16,7 +16,7 @@
     this.#availableRetries = Math.min(this.reserve, this.#availableRetries + this.share);
   }
 
-  /** Takes one retry if there is one. */
+  /** Takes one retry from the budget. Returns false if none is available. */
   tryTake(): boolean {
     if (this.#availableRetries < 1) return false;
     this.#availableRetries -= 1;
--- a/packages/policy/src/health/server-health.test.ts
+++ b/packages/policy/src/health/server-health.test.ts
@@ -1,8 +1,8 @@
 import { describe, expect, it } from 'vitest';
 import { ServerHealth } from './server-health.js';
 
-describe('ServerHealth of a server that wants rest', () => {
-  it('takes nothing until the rest is over, whatever is served meanwhile', () => {
+describe('ServerHealth of a server that asks for backoff', () => {
+  it('is unavailable until the backoff ends, even if earlier requests are served meanwhile', () => {
     const health = new ServerHealth();
     health.onBackoffRequested(3000, 0);
     health.onBackoffRequested(1000, 100);
@@ -12,7 +12,7 @@
     expect(health.isAvailable(3000)).toBe(true);
   });
 
-  it('takes one request at a time until one is served', () => {
+  it('is sent one request at a time after the backoff until one is served', () => {
     const health = new ServerHealth();
     health.onBackoffRequested(3000, 0);
     health.onAttempt(3000);
@@ -23,7 +23,7 @@
     expect(health.state(3002)).toBe('open');
   });
 
-  it('rests again where the first request after a rest is turned away', () => {
+  it('is in backoff again if the first request after a backoff is refused', () => {
     const health = new ServerHealth();
     health.onBackoffRequested(3000, 0);
     health.onAttempt(3000);
--- a/packages/policy/src/health/server-health.ts
+++ b/packages/policy/src/health/server-health.ts
@@ -3,15 +3,15 @@
 const FAILURES_TO_EJECT = 3;
 const INITIAL_EJECTION_MS = 500;
 const MAX_EJECTION_MS = 15_000;
-/** A server that asks for a longer rest is sent one request after this. */
+/** A server that asks for a longer backoff is probed with one request after this time. */
 const MAX_BACKOFF_MS = 600_000;
 
-/** `open`: takes work. `set_aside`: takes none. `probing`: takes one request at a time. */
+/** `open`: gets full traffic. `set_aside`: ejected or in backoff, gets none. `probing`: gets one request at a time. */
 export type HealthState = 'open' | 'set_aside' | 'probing';
 
 /**
- * Sets a backend server aside after failures in a row, and lets it prove itself with one
- * request at a time before it gets full traffic again. The pause doubles while probes fail.
+ * Ejects a backend server after consecutive failures, and probes it with one request at a time
+ * before it gets full traffic again. The ejection time doubles while probes fail.
  */
 export class ServerHealth {
   #consecutiveFailures = 0;
@@ -19,7 +19,7 @@
   #ejectedUntilMs: Milliseconds | undefined;
   #isProbeInFlight = false;
   #backoffUntilMs: Milliseconds = Number.NEGATIVE_INFINITY;
-  /** Whether a request was served that was sent after the last rest. */
+  /** Whether a request that was sent after the last backoff has been served. */
   #hasServedSinceBackoff = true;
 
   state(nowMs: Milliseconds): HealthState {
@@ -29,15 +29,15 @@
     return nowMs < this.#ejectedUntilMs ? 'set_aside' : 'probing';
   }
 
-  /** Whether a request may go there now. */
+  /** Whether the server may be sent a request now. */
   isAvailable(nowMs: Milliseconds): boolean {
     const state = this.state(nowMs);
     return state === 'open' || (state === 'probing' && !this.#isProbeInFlight);
   }
 
   /**
-   * The server itself wants nothing for `forMs`. What was sent before and is served meanwhile doesn't end the rest,
-   * after which one request at a time goes there until one is served.
+   * The server asks for no requests for `forMs`. Responses to requests that were sent before do not end the backoff.
+   * After the backoff, the server gets one request at a time until one is served.
    */
   onBackoffRequested(forMs: Milliseconds, nowMs: Milliseconds): void {
     this.#backoffUntilMs = Math.max(this.#backoffUntilMs, nowMs + Math.min(forMs, MAX_BACKOFF_MS));
@@ -45,7 +45,7 @@
     this.#isProbeInFlight = false;
   }
 
-  /** How long it rests still by its own word; 0 where it does not. */
+  /** Remaining time of the backoff that the server asked for; 0 if there is none. */
   remainingBackoffMs(nowMs: Milliseconds): Milliseconds {
     return Math.max(0, this.#backoffUntilMs - nowMs);
   }
@@ -62,12 +62,12 @@
     this.#isProbeInFlight = false;
   }
 
-  /** The attempt ended without saying anything about the server, e.g. it was cancelled. */
+  /** The attempt ended without evidence of the server's health, e.g. it was cancelled. */
   onInconclusiveEnd(): void {
     this.#isProbeInFlight = false;
   }
 
-  /** Notes a failure; true where the server is set aside by it. */
+  /** Records a failed attempt. Returns true if the server is ejected by it and was not ejected before. */
   onFailure(nowMs: Milliseconds): boolean {
     this.#consecutiveFailures += 1;
     const wasProbe = this.#isProbeInFlight;
--- a/packages/policy/src/lanes/lanes.ts
+++ b/packages/policy/src/lanes/lanes.ts
@@ -1,14 +1,14 @@
 import type { SizeBucket } from './size-histogram.js';
 
-/** Which requests count as long, and how many engines are kept free of them. */
+/** The size above which a request is long, and the fraction of engines reserved for short requests. */
 export interface LaneSplit {
-  /** Work above this is long, in tokens. Infinite where there is one lane only. */
+  /** A request with more work than this is long, in tokens. Infinite if there is only one lane. */
   readonly cutOffTokens: number;
-  /** Share of the engines that take no long work, from 0 to 1. */
+  /** Fraction of the engines that accept no long requests, from 0 to 1. */
   readonly shortShare: number;
 }
 
-/** One lane for all. */
+/** A single lane for all requests. */
 export const SINGLE_LANE: LaneSplit = { cutOffTokens: Number.POSITIVE_INFINITY, shortShare: 1 };
 
 /** The lane of a request. */
@@ -18,9 +18,9 @@
 const SPLIT_STEPS = 40;
 const MIN_SHORT_SHARE = 0.1;
 const MAX_SHORT_SHARE = 0.9;
-/** A busier lane than this counts as hopeless. */
+/** A lane with at least this utilization counts as overloaded: its predicted slowdown is infinite. */
 const MAX_UTILIZATION = 0.98;
-/** Utilisation that a split is judged at where the measured one is lower. */
+/** Splits are evaluated at this utilization if the measured one is lower. */
 const MIN_ASSUMED_UTILIZATION = 0.7;
 
 interface LaneLoad {
@@ -48,8 +48,9 @@
 }
 
 /**
- * Sum over a lane's requests of wait divided by size, by the Pollaczek-Khinchine mean wait of a
- * queue with `share` of all capacity. The unit of time cancels out between splits.
+ * Sum over a lane's requests of waiting time divided by size, with the Pollaczek-Khinchine mean
+ * wait of a queue that has `share` of the total capacity. The unit of time cancels out when splits
+ * are compared.
  */
 function totalSlowdown(load: LaneLoad, share: number, totalCapacity: number): number {
   if (load.count === 0) return 0;
@@ -61,8 +62,9 @@
 }
 
 /**
- * Chooses the cut-off and the split of engines that make the predicted mean slowdown least.
- * `use` is the measured share of all engines' capacity that is busy, from 0 to 1.
+ * Chooses the cut-off and the split of engines with the lowest predicted mean slowdown. `use` is
+ * the measured utilization of all engines, from 0 to 1. Returns `SINGLE_LANE` if fewer than
+ * `MIN_REQUESTS` were observed or no split is better.
  */
 export function chooseLaneSplit(buckets: readonly SizeBucket[], use: number): LaneSplit {
   const all = summarizeLoad(buckets);
@@ -87,14 +89,14 @@
   return best;
 }
 
-/** The lane of a request with this much work. */
+/** Lane of a request with `workTokens` of work. */
 export function laneOf(workTokens: number, split: LaneSplit): Lane {
   return workTokens > split.cutOffTokens ? 'long' : 'short';
 }
 
 /**
- * How many of `engines` take no long work; at least one remains for each lane
- * where there are two or more.
+ * Number of `engines` that accept no long requests. With two or more engines, each lane has at
+ * least one; 0 if there is only one lane or fewer than two engines.
  */
 export function shortEngineCount(engines: number, split: LaneSplit): number {
   if (!Number.isFinite(split.cutOffTokens) || engines < 2) return 0;
--- a/packages/policy/src/lanes/size-histogram.ts
+++ b/packages/policy/src/lanes/size-histogram.ts
@@ -1,25 +1,25 @@
 const BUCKETS_PER_DOUBLING = 2;
 const BUCKET_COUNT = 48;
 
-/** The bucket of a request of `tokens` of work. */
+/** Index of the bucket for a request with `tokens` of work. */
 function bucketOf(tokens: number): number {
   const bucket = Math.floor(Math.log2(Math.max(1, tokens)) * BUCKETS_PER_DOUBLING);
   return Math.min(BUCKET_COUNT - 1, bucket);
 }
 
-/** Largest size in a bucket, in tokens. */
+/** Upper bound of the sizes in a bucket, in tokens. */
 export function bucketLimit(bucket: number): number {
   return 2 ** ((bucket + 1) / BUCKETS_PER_DOUBLING);
 }
 
-/** One bucket of sizes: how many requests and how much work. */
+/** Requests of one size range: the upper bound of their size, their number and their total work. */
 export interface SizeBucket {
   readonly limit: number;
   readonly count: number;
   readonly workTokens: number;
 }
 
-/** Recent request sizes by work, with old ones fading away. */
+/** Histogram of request sizes by work, with exponential decay of old requests. */
 export class SizeHistogram {
   readonly #counts = new Float64Array(BUCKET_COUNT);
   readonly #workTokens = new Float64Array(BUCKET_COUNT);
@@ -30,7 +30,7 @@
     this.#workTokens[bucket] = (this.#workTokens[bucket] ?? 0) + tokens * weight;
   }
 
-  /** Multiplies all that was seen so far. */
+  /** Multiplies all counts and work by `factor`. */
   decay(factor: number): void {
     for (let bucket = 0; bucket < BUCKET_COUNT; bucket += 1) {
       this.#counts[bucket] = (this.#counts[bucket] ?? 0) * factor;
@@ -38,7 +38,7 @@
     }
   }
 
-  /** Buckets that hold anything, smallest sizes first. */
+  /** Non-empty buckets, smallest sizes first. */
   buckets(): readonly SizeBucket[] {
     const found: SizeBucket[] = [];
     for (let bucket = 0; bucket < BUCKET_COUNT; bucket += 1) {
--- a/packages/policy/src/limits/budgets.test.ts
+++ b/packages/policy/src/limits/budgets.test.ts
@@ -20,14 +20,14 @@
 }
 
 describe('Budgets', () => {
-  it('refuses a single giant request although few requests came', () => {
+  it('refuses a request that costs more than the burst, however few requests came before', () => {
     const budgets = fullBudgets(workspace, user);
     const oversized = budgets.charge([user, workspace], requestCost(180_000, 8000), 0);
     expect(oversized.isErr && oversized.error.code).toBe('over_budget_size');
     expect(budgets.charge([user, workspace], requestCost(200, 200), 0).isOk).toBe(true);
   });
 
-  it('names the budget that refuses and when it has recovered', () => {
+  it('reports the exhausted budget and the time until it has refilled', () => {
     const budgets = fullBudgets(workspace, user);
     expect(budgets.charge([user, workspace], 190_000, 0).isOk).toBe(true);
     const refused = budgets.charge([user, workspace], 20_000, 0);
@@ -45,7 +45,7 @@
     expect(budgets.available(workspace, 0)).toBe(300_000);
   });
 
-  it('settles both ways once the true cost is known', () => {
+  it('refunds or charges the difference once the actual cost is known', () => {
     const budgets = fullBudgets(workspace);
     const charge = budgets.charge([workspace], 100_000, 0).unwrapOr({ budgets: [], units: 0 });
     budgets.settle(charge, 40_000, 0);
@@ -55,7 +55,7 @@
     expect(budgets.available(workspace, 0)).toBe(-10_000);
   });
 
-  it('never lets more through than the burst and the refill', () => {
+  it('never charges more than the burst plus the refill', () => {
     const step = fc.record({
       units: fc.integer({ min: 1, max: 100_000 }),
       afterMs: fc.integer({ min: 0, max: 5000 }),
--- a/packages/policy/src/limits/demand-rate.ts
+++ b/packages/policy/src/limits/demand-rate.ts
@@ -2,7 +2,7 @@
 
 const MS_PER_SECOND = 1000;
 
-/** Recent demand in units a second; half of what was seen is forgotten after `halfLifeMs`. */
+/** Recent demand in units per second, with exponential decay: the weight of a value halves every `halfLifeMs`. */
 export class DemandRate {
   #units = 0;
   #updatedAtMs: Milliseconds;
--- a/packages/policy/src/limits/request-cost.ts
+++ b/packages/policy/src/limits/request-cost.ts
@@ -1,10 +1,10 @@
 /**
- * Cost of one generated token in units of one prompt token. Output costs more because it is
- * generated one step at a time; five is the ratio that the paper in docs/DESIGN.md gives.
+ * Cost of one output token relative to one prompt token. Output costs more because it is generated
+ * one step at a time; the ratio of five is that of the paper cited in docs/DESIGN.md.
  */
 export const OUTPUT_WEIGHT = 5;
 
-/** Cost units of a request. */
+/** Cost of a request in units; a prompt token costs one unit. */
 export function requestCost(promptTokens: number, outputTokens: number): number {
   return promptTokens + OUTPUT_WEIGHT * outputTokens;
 }
--- a/packages/policy/src/limits/share-split.ts
+++ b/packages/policy/src/limits/share-split.ts
@@ -1,19 +1,20 @@
-/** A host's share of a budget and what it needs, both as parts of the whole limit. */
+/** A host's share of a budget and its demand, both as fractions of the whole limit. */
 export interface ShareDemand {
   readonly share: number;
-  /** Recent demand on this host divided by the limit; may be over 1. */
+  /** Recent demand on this host divided by the limit; can exceed 1. */
   readonly demand: number;
 }
 
-/** Least part that is worth a transfer. */
+/** Smaller shares are not worth a transfer. */
 export const MIN_TRANSFER_SHARE = 0.01;
 
-/** A host keeps a little more than its demand, so that it needn't ask at once again. */
+/** A host aims to hold this multiple of its demand, so that it need not request more again at once. */
 const HEADROOM_FACTOR = 1.25;
 
 /**
- * How much of its share a host gives to one that asks: what it doesn't need itself, or, where
- * both need more than there is, as much as makes their shares proportional to their demands.
+ * Share that a host transfers to a requesting host: what it does not need itself or, if both need
+ * more than they hold together, enough to make their shares proportional to their demands. At most
+ * `wanted`, and 0 if it is less than `MIN_TRANSFER_SHARE`.
  */
 export function shareToTransfer(
   giver: ShareDemand,
@@ -30,7 +31,7 @@
   return transferred < MIN_TRANSFER_SHARE ? 0 : transferred;
 }
 
-/** How much more of a budget a host wants, for its demand and for one request's units. */
+/** Additional share of a budget that a host requests, to cover its demand and one request of `units`. */
 export function shareToRequest(current: ShareDemand, units: number, burstUnits: number): number {
   const target = Math.max(current.demand * HEADROOM_FACTOR, (units * HEADROOM_FACTOR) / burstUnits);
   return Math.max(0, Math.min(1, target) - current.share);
--- a/packages/policy/src/limits/token-bucket.ts
+++ b/packages/policy/src/limits/token-bucket.ts
@@ -2,15 +2,15 @@
 
 const MS_PER_SECOND = 1000;
 
-/** A bucket's size and refill, in cost units. */
+/** Capacity and refill rate of a bucket, in cost units. */
 export interface BucketSize {
   readonly unitsPerSecond: number;
   readonly burstUnits: number;
 }
 
 /**
- * A token bucket in cost units. It may go below zero when a call cost more than was charged
- * before; it then refuses until it has recovered.
+ * A token bucket in cost units. Its balance becomes negative if a call costs more than was charged
+ * in advance; the bucket then refuses until the refill has made up for it.
  */
 export class TokenBucket {
   #units: number;
@@ -25,7 +25,7 @@
     this.#updatedAtMs = nowMs;
   }
 
-  /** What can be spent now. */
+  /** Balance in units, with the refill up to `nowMs`; can be negative. */
   available(nowMs: Milliseconds): number {
     const refilledUnits = ((nowMs - this.#updatedAtMs) * this.size.unitsPerSecond) / MS_PER_SECOND;
     this.#units = Math.min(this.size.burstUnits, this.#units + refilledUnits);
@@ -37,12 +37,12 @@
     return this.available(nowMs) >= units;
   }
 
-  /** Spends units; negative gives them back, up to the bucket's size. */
+  /** Deducts units without a check of the balance. A negative value refunds them, up to the capacity. */
   take(units: number, nowMs: Milliseconds): void {
     this.#units = Math.min(this.size.burstUnits, this.available(nowMs) - units);
   }
 
-  /** How long until `units` can be taken; infinite where the bucket never holds so many. */
+  /** Time until `units` can be taken; infinite if the bucket never holds as many. */
   timeUntilAvailableMs(units: number, nowMs: Milliseconds): Milliseconds {
     if (units > this.size.burstUnits) return Number.POSITIVE_INFINITY;
     const missingUnits = units - this.available(nowMs);
--- a/packages/policy/src/placement/baselines.ts
+++ b/packages/policy/src/placement/baselines.ts
@@ -13,7 +13,7 @@
   return best ? dispatchTo(best) : NO_ENGINE;
 }
 
-/** Baseline: each engine in turn. */
+/** Baseline placement: the engines in rotation. */
 export class RoundRobinPlacement implements Placement {
   readonly name = 'round-robin';
   #next = 0;
@@ -25,7 +25,7 @@
   }
 }
 
-/** Baseline: the engine with the fewest requests. */
+/** Baseline placement: the engine with the fewest requests. */
 export class LeastRequestsPlacement implements Placement {
   readonly name = 'least-requests';
 
@@ -34,7 +34,7 @@
   }
 }
 
-/** Baseline: the engine with the fewest tokens in memory and waiting for prefill. */
+/** Baseline placement: the engine with the fewest tokens in KV memory and queued for prefill. */
 export class LeastTokensPlacement implements Placement {
   readonly name = 'least-tokens';
 
--- a/packages/policy/src/placement/group-plan.test.ts
+++ b/packages/policy/src/placement/group-plan.test.ts
@@ -24,19 +24,19 @@
 }
 
 describe('planGroup', () => {
-  it('cuts a prompt of more than twice an engine over three engines, in order', () => {
+  it('splits a prompt larger than two engines over three engines, in order', () => {
     const plan = planGroup(950_000, 500, engines([0, 300_000, 0, 0]), BLOCK_TOKENS, MARGIN);
     expect(plan?.map((part) => part.engineId)).toEqual(['engine-0', 'engine-2', 'engine-3']);
   });
 
-  it('finds a plan where only the answer no longer fits beside the prompt', () => {
+  it('finds a plan if the prompt fills two engines and leaves no room for the output', () => {
     const smallEngines = engines([0, 0, 0, 0]).map((state) => ({ ...state, kvTokens: 40_000 }));
     const plan = planGroup(77_146, 16, smallEngines, BLOCK_TOKENS, MARGIN);
     expect(plan).toHaveLength(3);
     expect(plan?.every(({ tokens }) => tokens > 16)).toBe(true);
   });
 
-  it('finds a plan for all sizes that the free memory holds', () => {
+  it('finds a plan for every prompt that fits the free memory', () => {
     const held = fc.array(fc.integer({ min: 0, max: 380_000 }), { minLength: 1, maxLength: 8 });
     const answers = fc.integer({ min: 1, max: 15 * BLOCK_TOKENS });
     fc.assert(
@@ -53,7 +53,7 @@
     );
   });
 
-  it('never takes more than is free, and covers the whole prompt', () => {
+  it('never reserves more than is free, and covers the whole prompt', () => {
     const held = fc.array(fc.integer({ min: 0, max: 400_000 }), { minLength: 1, maxLength: 12 });
     const tokens = fc.integer({ min: 1, max: 3_000_000 });
     fc.assert(
--- a/packages/policy/src/placement/group-plan.ts
+++ b/packages/policy/src/placement/group-plan.ts
@@ -1,27 +1,27 @@
 import type { EngineState } from '../engine-load.js';
 
-/** One engine's part of a prompt that is larger than any one engine's memory. */
+/** One engine's part of a prompt that exceeds the KV memory of a single engine. */
 export interface GroupPart {
   readonly engineId: string;
-  /** Tokens to reserve, a whole number of blocks but for the last part. */
+  /** Tokens to reserve; a whole number of blocks except for the last part, which includes the output. */
   readonly tokens: number;
 }
 
-/** The most engines that one prompt is spread over. */
+/** Maximum number of engines for one prompt. */
 export const MAX_GROUP_SIZE = 8;
 
-/** Least part that is worth a handover, in tokens. */
+/** Smaller parts are not worth a handover between engines, in tokens. */
 const MIN_PART_TOKENS = 16_384;
 
-/** How many engines of a pool prompts in groups may use. */
+/** Number of a pool's engines that prompts split over several engines may use. */
 export function groupEngineCount(engines: number, groupShare: number): number {
   return Math.floor(engines * groupShare);
 }
 
 /**
- * Cuts a prompt over engines: as few as possible, those with most free memory.
- * The parts come back in `engines` order, so that every host reserves in the same order.
- * Undefined where the free memory doesn't suffice.
+ * Splits a prompt over as few engines as possible, those with the most free memory. `margin` is the
+ * fraction of each engine's memory that is not used. The parts are in the order of `engines`, so
+ * that every host reserves in the same order. Returns undefined if the free memory is insufficient.
  */
 export function planGroup(
   promptTokens: number,
@@ -63,7 +63,7 @@
   let left = promptTokens;
   chosen.forEach(({ engine, blocks }, index) => {
     const remainingParts = chosen.length - 1 - index;
-    // Every part reads something: a block is left for each that follows.
+    // Every part prefills something: one block is left for each part that follows.
     const most = Math.ceil(left / blockTokens) - remainingParts;
     const blockCount = remainingParts === 0 ? blocks - outputBlocks : Math.min(blocks, most);
     const tokens = Math.min(left, Math.max(0, blockCount) * blockTokens);
--- a/packages/policy/src/placement/predicted-start.test.ts
+++ b/packages/policy/src/placement/predicted-start.test.ts
@@ -52,13 +52,13 @@
 }
 
 describe('PredictedStartPlacement', () => {
-  it('keeps long work out of the short lane, even when the long lane is busy', () => {
+  it('keeps long requests out of the short lane, even when the long lane is busy', () => {
     const engines = [engine('s1'), engine('s2'), busy('l1', 90_000), busy('l2', 80_000)];
     expect(chosen(job({ lane: 'long', promptTokens: 50_000 }), engines)).toMatch(/busy/);
     expect(chosen(job({ lane: 'long' }), [...engines.slice(0, 3), engine('l2')])).toBe('l2');
   });
 
-  it('lets a short request spill into the long lane, ahead of lower priority there', () => {
+  it('places a short request in the long lane when the short lane is busy, ahead of lower priority there', () => {
     const engines = [
       busy('s1', 90_000, 7),
       busy('s2', 80_000, 7),
@@ -69,13 +69,13 @@
     expect(chosen(job({ priority: 7 }), engines.slice(0, 3))).toBe('l1');
   });
 
-  it('waits at the host while every engine has too much ahead', () => {
+  it('keeps a request waiting at the host while every engine has too much work queued ahead', () => {
     const engines = [busy('s1', 90_000), busy('s2', 90_000)];
     const choice = placement.choose(job(), engines, random);
     expect(choice.kind).toBe('wait');
   });
 
-  it('weighs a cached prefix against load', () => {
+  it('trades off a cached prefix against load', () => {
     const request = job({ promptTokens: 9000, cachedTokens: (id) => (id === 'warm' ? 8192 : 0) });
     const singleLane = new PredictedStartPlacement(placement.settings, {
       cutOffTokens: Infinity,
@@ -91,7 +91,7 @@
     expect(withLongQueue.kind === 'dispatch' && withLongQueue.engine.id).toBe('cold');
   });
 
-  it('passes over engines without memory and says so', () => {
+  it('rejects engines without enough free memory and reports the reason', () => {
     const full = engine('full', { heldTokens: 399_900 });
     const choice = placement.choose(job(), [full, engine('other'), engine('l')], random);
     expect(choice.kind === 'dispatch' && choice.passedOver).toContainEqual({
--- a/packages/policy/src/placement/predicted-start.ts
+++ b/packages/policy/src/placement/predicted-start.ts
@@ -8,26 +8,26 @@
 import { neededKvTokens, NO_ENGINE } from './placement.js';
 import type { RejectedEngine, Placement, PlacementChoice, PlacementJob } from './placement.js';
 
-/** What each mechanism of the placement is set to; each can be switched off. */
+/** Settings of the placement's mechanisms; each mechanism can be disabled. */
 export interface PredictedStartSettings {
-  /** Keeps some engines free of long work. */
+  /** Reserves some engines for short requests. */
   readonly useLanes: boolean;
-  /** Waits at this host while every engine has more than `bindWithinMs` of work ahead. */
+  /** Keeps a request at this host while every engine has more than `bindWithinMs` of work queued ahead of it. */
   readonly useLateBinding: boolean;
-  /** Counts prefix cache hints. */
+  /** Takes prefix cache hints into account. */
   readonly useAffinity: boolean;
   readonly bindWithinMs: Milliseconds;
-  /** How many engines at random are compared, so that hosts don't all pick the same one. */
+  /** Number of randomly sampled engines that are compared; sampling keeps hosts from all picking the same one. */
   readonly randomChoices: number;
-  /** Cost of leaving this host's availability zone. */
+  /** Cost of using an engine outside this host's availability zone. */
   readonly otherZoneMs: Milliseconds;
-  /** Time that one step with a full chunk takes; new work waits for the step that runs. */
+  /** Duration of one engine step with a full chunk; new work waits for the running step to end. */
   readonly stepMs: Milliseconds;
-  /** Share of an engine's memory that is kept for sequences as they are. */
+  /** Fraction of an engine's KV memory that is left unplanned for the actual size of sequences. */
   readonly memoryMargin: number;
 }
 
-/** Reasonable values; docs/TUNING.md says how to choose them. */
+/** Default settings; docs/TUNING.md explains how to tune them. */
 export const DEFAULT_PREDICTED_START: PredictedStartSettings = {
   useLanes: true,
   useLateBinding: true,
@@ -39,7 +39,7 @@
   memoryMargin: 0.02,
 };
 
-/** What each running sequence adds to a step; spreads short work over engines that are alike. */
+/** Time that each running sequence adds to a step; spreads short requests over otherwise equal engines. */
 const RUNNING_SEQUENCE_STEP_MS = 0.05;
 
 interface ScoredEngine {
@@ -49,7 +49,7 @@
   readonly cachedTokens: number;
 }
 
-/** Places by the predicted time to the first token. */
+/** Chooses engines by the predicted time to the first token. */
 export class PredictedStartPlacement implements Placement {
   readonly name = 'predicted-start';
 
@@ -74,7 +74,7 @@
     return { kind: 'wait', why };
   }
 
-  /** Groups of engines in order of preference. Long work never enters the short lane. */
+  /** Engines of each lane, in order of preference. Long requests are never placed in the short lane. */
   #lanesInOrder(
     job: PlacementJob,
     engines: readonly EngineState[],
@@ -100,13 +100,13 @@
       if (freeTokens < neededTokens) {
         passedOver.push({
           candidate: engine.id,
-          why: `memory: ${String(Math.floor(freeTokens))} free`,
+          why: `insufficient memory: ${String(Math.floor(freeTokens))} tokens free`,
         });
         continue;
       }
       const scored = this.#score(job, engine);
       if (this.settings.useLateBinding && scored.aheadMs > this.settings.bindWithinMs) {
-        passedOver.push({ candidate: engine.id, why: `busy ${scored.aheadMs.toFixed(0)} ms` });
+        passedOver.push({ candidate: engine.id, why: `busy for ${scored.aheadMs.toFixed(0)} ms` });
         continue;
       }
       eligible.push(scored);
@@ -129,7 +129,7 @@
     return { engine, startMs, aheadMs, cachedTokens };
   }
 
-  /** The best of a few at random, and of those that the cache favours. */
+  /** Earliest predicted start among a random sample and all engines with cached prompt tokens. */
   #chooseBest(
     eligible: readonly ScoredEngine[],
     passedOver: readonly RejectedEngine[],
@@ -143,13 +143,16 @@
     }
     if (!best) {
       const first = passedOver[0];
-      return { kind: 'wait', why: first ? `${first.candidate} ${first.why}` : 'no engine' };
+      return {
+        kind: 'wait',
+        why: first ? `${first.candidate}: ${first.why}` : 'no engine in the lane',
+      };
     }
     const others = sampled
       .filter((scored) => scored !== best)
       .map(({ engine, startMs }) => ({
         candidate: engine.id,
-        why: `start ${startMs.toFixed(0)} ms`,
+        why: `predicted start in ${startMs.toFixed(0)} ms`,
       }));
     return {
       kind: 'dispatch',
--- a/packages/policy/src/prefix-index.ts
+++ b/packages/policy/src/prefix-index.ts
@@ -1,6 +1,6 @@
 import { BLOCK_TOKENS } from '@poppypond/hashing';
 
-/** A line of an engine's cache stream: a whole list, or a change. */
+/** An event of an engine's cache stream: the full list of cached blocks, or a delta to it. */
 export type CacheEvent =
   | { readonly sequence: number; readonly all: readonly string[] }
   | {
@@ -10,8 +10,8 @@
     };
 
 /**
- * Which prompt blocks one engine probably holds. Events come late and with gaps, so this is
- * a hint: at a gap the index is dropped and the stream must be opened again for a whole list.
+ * Prompt blocks that one engine probably has in its cache. Events arrive late and with gaps, so
+ * this is only a hint: a gap clears the index, and the stream must be reopened to get a full list.
  */
 export class PrefixIndex {
   #blocks = new Set<string>();
@@ -21,7 +21,7 @@
     return this.#blocks.size;
   }
 
-  /** Takes one line; false at a gap, after which the index is empty until the next whole list. */
+  /** Applies one event. Returns false at a sequence gap; the index is then empty until the next full list. */
   apply(event: CacheEvent): boolean {
     if ('all' in event) {
       this.#blocks = new Set(event.all);
@@ -43,7 +43,7 @@
     this.#sequence = undefined;
   }
 
-  /** Leading tokens of a prompt that the engine probably holds. */
+  /** Number of leading prompt tokens that the engine probably has cached, from the chain value of each prompt block. */
   cachedTokens(chain: readonly string[]): number {
     let matched = 0;
     while (matched < chain.length && this.#blocks.has(chain[matched] ?? '')) matched += 1;
--- a/packages/policy/src/random-source.ts
+++ b/packages/policy/src/random-source.ts
@@ -3,12 +3,12 @@
   next(): number;
 }
 
-/** One item at random; undefined when there is none. */
+/** Picks one item at random; undefined if there is none. */
 export function pickOne<Item>(items: readonly Item[], random: RandomSource): Item | undefined {
   return items[Math.floor(random.next() * items.length)];
 }
 
-/** At most `count` different items at random, in random order. */
+/** Picks `count` different items at random, in random order; returns all of them as they are if there are no more. */
 export function pickSome<Item>(
   items: readonly Item[],
   count: number,
--- a/packages/policy/src/waiting/wait-queue.test.ts
+++ b/packages/policy/src/waiting/wait-queue.test.ts
@@ -29,14 +29,14 @@
 }
 
 describe('WaitQueue', () => {
-  it('offers higher priority first', () => {
+  it('starts higher priority first', () => {
     const queue = new WaitQueue<string>();
     queue.enqueue(entry('low', { priority: 3 }));
     queue.enqueue(entry('high', { priority: 7 }));
     expect(drain(queue)).toEqual(['high', 'low']);
   });
 
-  it('never lets a long request that must wait hold up a short one', () => {
+  it('starts a short request although a long one before it must wait', () => {
     const queue = new WaitQueue<string>();
     queue.enqueue(entry('review', { group: 'long', priority: 9 }));
     queue.enqueue(entry('balance'));
@@ -60,7 +60,7 @@
     expect(doubleWeightCount).toBe(10);
   });
 
-  it('displaces lower priority when full, and refuses equal priority', () => {
+  it('displaces entries of lower priority when full, and refuses an entry of equal priority', () => {
     const queue = new WaitQueue<string>();
     queue.enqueue(entry('low', { priority: 2, tokens: 900 }));
     expect(queue.enqueue(entry('same', { priority: 2, tokens: 900 })).isQueued).toBe(false);
@@ -69,7 +69,7 @@
     expect(queue.tokens).toBe(900);
   });
 
-  it('keeps its counts and bounds through any history', () => {
+  it('keeps its counts exact and its tokens bounded for any sequence of operations', () => {
     const action = fc.oneof(
       fc.record({
         kind: fc.constant('enqueue' as const),
--- a/packages/policy/src/waiting/wait-queue.ts
+++ b/packages/policy/src/waiting/wait-queue.ts
@@ -1,19 +1,19 @@
 import type { Milliseconds } from '@poppypond/core';
 
-/** A request that waits at this host. */
+/** A request that waits in this host's queue. */
 export interface WaitingEntry<Item> {
   readonly item: Item;
   readonly priority: number;
   readonly workspace: string;
-  /** The workspace's weight against others. */
+  /** Weight of the workspace relative to other workspaces. */
   readonly weight: number;
-  /** Rule that bounds the queue. */
+  /** Rule of the request; `maxQueuedTokens` bounds the queued tokens of all its entries. */
   readonly rule: string;
   readonly maxQueuedTokens: number;
   readonly tokens: number;
-  /** Entries of one group can't be placed when an earlier one of the group couldn't. */
+  /** If an entry of a group cannot be placed, no later entry of the group can. */
   readonly group: string;
-  /** Monotonic time at which waiting ends. */
+  /** Monotonic time at which the wait times out. */
   readonly expiresAtMs: Milliseconds;
 }
 
@@ -23,7 +23,7 @@
   readonly arrival: number;
 }
 
-/** Whether an entry was taken in, and which others had to leave for it. */
+/** Whether an entry was queued, and which others were displaced to make room for it. */
 export type EnqueueResult<Item> =
   { readonly isQueued: true; readonly displaced: readonly Item[] } | { readonly isQueued: false };
 
@@ -32,9 +32,9 @@
 }
 
 /**
- * Requests that wait at this host: higher priority first; within a priority the workspaces
- * share in tokens by weight (start-time fair queueing, Goyal et al., 1996); bounded in tokens
- * for each rule, where higher priority displaces lower.
+ * Queue of the requests that wait at this host. Higher priority comes first; within a priority, the
+ * workspaces share the tokens by weight (start-time fair queueing, Goyal et al., 1996). The queued
+ * tokens of each rule are bounded; at the bound, higher priority displaces lower.
  */
 export class WaitQueue<Item> {
   #entries: QueuedEntry<Item>[] = [];
@@ -52,7 +52,7 @@
     return this.#tokens;
   }
 
-  /** Tokens that wait at this priority or above. */
+  /** Queued tokens of a group at this priority or above. */
   tokensAtOrAbove(priority: number, group: string): number {
     let tokens = 0;
     for (const entry of this.#entries) {
@@ -74,7 +74,7 @@
     return { isQueued: true, displaced: victims.map((victim) => victim.item) };
   }
 
-  /** Entries of lower priority to make room for; undefined where that isn't enough. */
+  /** Entries of lower priority that must be displaced for `entry`; undefined if that is not enough. */
   #selectVictims(entry: WaitingEntry<Item>): readonly QueuedEntry<Item>[] | undefined {
     let excessTokens =
       (this.#tokensByRule.get(entry.rule) ?? 0) + entry.tokens - entry.maxQueuedTokens;
@@ -114,21 +114,21 @@
     this.#addToTotals(entry, -entry.tokens);
   }
 
-  /** Takes an entry out, e.g. because its caller went away. */
+  /** Removes an item, e.g. because its caller disconnected. Returns false if it is not queued. */
   remove(item: Item): boolean {
     const entry = this.#entries.find((candidate) => candidate.item === item);
     if (entry) this.#removeEntry(entry);
     return entry !== undefined;
   }
 
-  /** Takes out all whose wait has ended. */
+  /** Removes and returns all items whose wait has timed out. */
   takeExpired(nowMs: Milliseconds): readonly Item[] {
     const expired = this.#entries.filter((entry) => entry.expiresAtMs <= nowMs);
     for (const entry of expired) this.#removeEntry(entry);
     return expired.map((entry) => entry.item);
   }
 
-  /** The next time at which an entry expires. */
+  /** Monotonic time at which the next entry expires; undefined if the queue is empty. */
   nextExpiryMs(): Milliseconds | undefined {
     let next: Milliseconds | undefined;
     for (const { expiresAtMs } of this.#entries) {
@@ -138,9 +138,9 @@
   }
 
   /**
-   * Offers entries in order. `tryStart` says whether the entry was started; once one entry of a
-   * group was not, the rest of its group is passed by, so that a long request that must wait
-   * never holds up a short one.
+   * Tries to start all entries in queue order and removes those that start. `tryStart` returns
+   * whether the item was started; after a failure, the rest of the item's group is skipped. Other
+   * groups go on, so that a long request that must wait never blocks a short one.
    */
   startInOrder(tryStart: (item: Item) => boolean): void {
     const blockedGroups = new Set<string>();
