--- a/packages/state/src/config/configuration-holder.ts
+++ b/packages/state/src/config/configuration-holder.ts
@@ -1,13 +1,13 @@
 import { Configuration } from '@poppypond/objects';
 import type { ObjectChange } from '@poppypond/objects';
 
-/** Called after the configuration in force has changed. */
+/** Called after the active configuration has changed; `changes` is undefined if it was replaced as a whole. */
 export type ConfigurationListener = (
   configuration: Configuration,
   changes: readonly ObjectChange[] | undefined,
 ) => void;
 
-/** The configuration in force on this host. Its revision only rises. */
+/** Holds the active configuration of this host. Its revision only increases. */
 export class ConfigurationHolder {
   #current = Configuration.empty;
   readonly #listeners = new Set<ConfigurationListener>();
@@ -20,7 +20,7 @@
     this.#listeners.add(listener);
   }
 
-  /** Takes a whole configuration; false if it isn't newer. */
+  /** Replaces the whole configuration. Returns false if `next` is not newer. */
   replace(next: Configuration): boolean {
     if (next.revision <= this.#current.revision) return false;
     this.#activate(next, undefined);
@@ -28,8 +28,8 @@
   }
 
   /**
-   * Takes the changes that follow `after`. They must join on without a gap:
-   * `gap` tells the caller to ask for what is missing.
+   * Applies the changes that follow revision `after`. They must be contiguous with the current
+   * revision: `gap` tells the caller to request the missing changes. `old`: all are applied already.
    */
   advance(after: number, changes: readonly ObjectChange[]): 'advanced' | 'old' | 'gap' {
     const newChanges = changes.filter((change) => change.revision > this.#current.revision);
--- a/packages/state/src/config/configuration-reader.ts
+++ b/packages/state/src/config/configuration-reader.ts
@@ -4,13 +4,13 @@
 import type { ConfigurationHolder } from './configuration-holder.js';
 import { readChangesAfter, readConfiguration, readHeadRevision } from './read-configuration.js';
 
-/** Changes that a read brought into force, and the revision they follow. */
+/** Changes that a read activated, and the revision they follow. */
 export interface ReadChanges {
   readonly after: number;
   readonly changes: readonly ObjectChange[];
 }
 
-/** Keeps a holder up to date from the table; one read at a time. */
+/** Keeps a `ConfigurationHolder` up to date from the table, with one read at a time. */
 export class ConfigurationReader {
   #lastResponseAtMs: Milliseconds | undefined;
   #currentRead: Promise<ReadChanges | undefined> | undefined;
@@ -21,12 +21,15 @@
     readonly clock: Clock,
   ) {}
 
-  /** Monotonic time of the last answer from the table. */
+  /** Monotonic time of the table's last response; undefined before the first. */
   get lastResponseAtMs(): Milliseconds | undefined {
     return this.#lastResponseAtMs;
   }
 
-  /** Reads what is new; the changes are returned where they could be read one by one. */
+  /**
+   * Reads and activates new changes and returns them. Returns undefined if there are none, if the
+   * read failed, or if the whole configuration was read instead of single changes.
+   */
   poll(): Promise<ReadChanges | undefined> {
     this.#currentRead ??= this.#read().finally(() => {
       this.#currentRead = undefined;
--- a/packages/state/src/config/configuration-rows.ts
+++ b/packages/state/src/config/configuration-rows.ts
@@ -1,36 +1,36 @@
 import { objectSchema } from '@poppypond/objects';
 import { z } from 'zod';
 
-/** The row whose version orders all changes of the configuration. */
+/** Key of the head row, whose version orders all changes of the configuration. */
 export const HEAD_KEY = 'config/head';
 
-/** The prefix of object rows. */
+/** Key prefix of object rows. */
 export const OBJECT_PREFIX = 'config/object/';
 
-/** The prefix of audit rows, one for each accepted change. */
+/** Key prefix of audit rows, one for each accepted change. */
 export const AUDIT_PREFIX = 'audit/';
 
 const REVISION_DIGITS = 12;
 
-/** The row of an object, from its `kind/name`. */
+/** Row key of an object with the id `kind/name`. */
 export function objectKey(id: string): string {
   return `${OBJECT_PREFIX}${id}`;
 }
 
-/** The audit row of a revision; keys sort as revisions do. */
+/** Key of a revision's audit row; keys sort in the order of revisions. */
 export function auditKey(revision: number): string {
   return `${AUDIT_PREFIX}${String(revision).padStart(REVISION_DIGITS, '0')}`;
 }
 
-/** The row that remembers a change id, so that a change sent twice has one effect. */
+/** Key of the row that stores a change id, so that a change sent twice is applied once. */
 export function changeIdKey(changeId: string): string {
   return `config/change/${changeId}`;
 }
 
-/** The head row. */
+/** Schema of the head row. */
 export const headSchema = z.object({ revision: z.int().nonnegative() });
 
-/** An object row. */
+/** Schema of an object row. */
 export const objectRowSchema = z.object({ revision: z.int().positive(), object: objectSchema });
 
 const changeSchema = z.object({
@@ -39,7 +39,7 @@
   after: objectSchema.nullable(),
 });
 
-/** An audit row. */
+/** Schema of an audit row. */
 export const auditRowSchema = z.object({
   revision: z.int().positive(),
   changeId: z.string(),
@@ -49,5 +49,5 @@
   changes: z.array(changeSchema),
 });
 
-/** Who changed what, when and why. */
+/** Audit record of an accepted change: who changed what, when and why. */
 export type AuditRow = z.infer<typeof auditRowSchema>;
--- a/packages/state/src/config/configuration-writer.ts
+++ b/packages/state/src/config/configuration-writer.ts
@@ -18,22 +18,22 @@
 /** One object to write or delete. */
 export interface ObjectWrite {
   readonly id: string;
-  /** Null deletes. */
+  /** Null deletes the object. */
   readonly after: ConfigObject | null;
-  /** The revision the operator saw; 0 where the object must be new; absent accepts any. */
+  /** Revision that the operator saw, 0 if the object must be new; if absent, any revision is accepted. */
   readonly expected?: number;
 }
 
-/** A change by one operator. */
+/** A configuration change requested by one operator. */
 export interface ChangeRequest {
   readonly operator: string;
   readonly why: string;
-  /** A change sent twice with one id has one effect. */
+  /** A change that is sent twice with the same id is applied once. */
   readonly changeId?: string;
   readonly writes: readonly ObjectWrite[];
 }
 
-/** An accepted change; `isRepeat` where an earlier send of the same change id made it. */
+/** An accepted change; `isRepeat` if it was accepted earlier under the same change id. */
 export interface AcceptedChange {
   readonly audit: AuditRow;
   readonly isRepeat: boolean;
@@ -65,14 +65,17 @@
   });
 }
 
-/** Accepts changes of the configuration: one transaction for objects, audit row and head. */
+/** Applies changes to the configuration: one transaction writes the objects, the audit row and the head row. */
 export class ConfigurationWriter {
   constructor(
     readonly table: TableStore,
     readonly clock: Clock,
   ) {}
 
-  /** Applies a change whole or not at all. Racing changes of other objects are waited out. */
+  /**
+   * Applies a change completely or not at all. Retries after a race with changes of other objects;
+   * returns a `conflict` fault if an object is not at its expected revision.
+   */
   async apply(request: ChangeRequest): Promise<Result<AcceptedChange, Fault>> {
     const changeId = request.changeId ?? randomId();
     const previousAudit = await this.#findAcceptedChange(changeId);
@@ -83,7 +86,7 @@
       if (result !== 'raced') return result;
       await delay(this.clock, Math.random() * RETRY_BASE_MS * attempt);
     }
-    return Result.err(fault('store_down', 'too many changes at once; apply again'));
+    return Result.err(fault('store_down', 'too many concurrent changes; retry'));
   }
 
   async #findAcceptedChange(changeId: string): Promise<Result<AuditRow | undefined, StoreFault>> {
@@ -168,7 +171,7 @@
     return this.#readBackOutcome(changeId, sent.error);
   }
 
-  /** The answer to the write was lost: whether it took effect is read from the table. */
+  /** Reads from the table whether a write took effect whose response was lost. */
   async #readBackOutcome(
     changeId: string,
     error: StoreFault,
@@ -182,10 +185,11 @@
 
   async #conflictFault(write: ObjectWrite, before: PreviousState): Promise<Fault> {
     const row = await this.table.get(auditKey(before.revision));
-    const other = row.isOk && row.value ? auditRowSchema.parse(row.value.value) : undefined;
-    const cause = other
-      ? `change ${other.changeId} by ${other.operator} ("${other.why}")`
-      : 'it does not exist';
+    const conflictingChange =
+      row.isOk && row.value ? auditRowSchema.parse(row.value.value) : undefined;
+    const cause = conflictingChange
+      ? `change ${conflictingChange.changeId} by ${conflictingChange.operator} ("${conflictingChange.why}")`
+      : 'the object does not exist';
     const detail =
       `${write.id}: you changed revision ${String(write.expected)}, ` +
       `it is now at ${String(before.revision)}: ${cause}`;
@@ -198,7 +202,7 @@
   return copy;
 }
 
-/** The `kind/name` and object of a write that replaces whatever is there. */
+/** Creates a write of an object under its `kind/name`; without `expected` it replaces any revision. */
 export function toObjectWrite(object: ConfigObject, expected?: number): ObjectWrite {
   const id = objectId(object);
   return expected === undefined ? { id, after: object } : { id, after: object, expected };
--- a/packages/state/src/config/configuration.test.ts
+++ b/packages/state/src/config/configuration.test.ts
@@ -18,7 +18,7 @@
 
 const IMMEDIATE_SCHEDULER = { schedule: <Value>(task: Promise<Value>) => task };
 
-/** Operators race while answers are lost; checks the order of revisions and what was accepted. */
+/** Applies concurrent changes while responses are lost; checks the order of revisions and the accepted changes. */
 function concurrentChangesProperty(makeRows: () => MemoryRows) {
   const fate = fc.constantFrom<CallFate>('ok', 'ok', 'ok', 'ok', 'lost', 'down');
   const change = fc.record({
@@ -78,7 +78,7 @@
 }
 
 describe('ConfigurationWriter', () => {
-  it('names both changes when operators race on one object', async () => {
+  it('reports the revision of each change if two operators change one object', async () => {
     const writer = new ConfigurationWriter(
       new MemoryTable(new MemoryRows()),
       new ScheduledClock(IMMEDIATE_SCHEDULER),
@@ -93,14 +93,14 @@
     expect(result.isErr && result.error.detail).toMatch(/revision 1.*at 2.*ben/);
   });
 
-  it('accepts each change once, in one order, whatever is lost; readers never go back', async () => {
+  it('accepts each change once and in one order if responses are lost; readers never go back', async () => {
     await fc.assert(
       concurrentChangesProperty(() => new MemoryRows()),
       { seed: 23, numRuns: 1000 },
     );
   });
 
-  it('is found out by the checker when the store does not check', async () => {
+  it('violates the property if the store ignores version checks', async () => {
     const checked = await fc.check(
       concurrentChangesProperty(() => new UncheckedRows()),
       { seed: 23 },
@@ -110,7 +110,7 @@
 });
 
 describe('ConfigurationHolder', () => {
-  it('asks for what is missing at a gap, and never takes an older revision', () => {
+  it('reports a gap, and never goes back to an older revision', () => {
     const holder = new ConfigurationHolder();
     const change = (revision: number) => ({
       id: 'workspace/a',
--- a/packages/state/src/config/read-configuration.ts
+++ b/packages/state/src/config/read-configuration.ts
@@ -13,13 +13,13 @@
   objectRowSchema,
 } from './configuration-rows.js';
 
-/** The revision of the newest accepted change; 0 before the first. */
+/** Reads the revision of the newest accepted change; 0 before the first. */
 export async function readHeadRevision(table: TableStore): Promise<Result<number, StoreFault>> {
   const row = await table.get(HEAD_KEY);
   return row.map((head) => (head ? headSchema.parse(head.value).revision : 0));
 }
 
-/** The changes after `revision`, in order. */
+/** Reads the changes accepted after `revision`, in order. */
 export async function readChangesAfter(
   table: TableStore,
   revision: number,
@@ -34,8 +34,8 @@
 }
 
 /**
- * Reads the whole configuration. Objects may change while they are read, so the changes
- * since the head that was read first are applied on top; each object keeps its newest revision.
+ * Reads the whole configuration. Objects can change while they are read, so the head is read first
+ * and the changes since then are applied on top; each object keeps its newest revision.
  */
 export async function readConfiguration(
   table: TableStore,
--- a/packages/state/src/decisions/decision-log.ts
+++ b/packages/state/src/decisions/decision-log.ts
@@ -9,11 +9,11 @@
 
 const SEGMENT_PREFIX = 'decisions/';
 const TIME_DIGITS = 14;
-/** How much later than its request's arrival a decision is looked for. */
+/** Decisions about a request are searched up to this time after the request's arrival. */
 const SEARCH_WINDOW_MS = 900_000;
 const MAX_SEGMENTS_READ = 400;
 
-/** Which decisions are asked for by label. */
+/** Query for decisions by label and time. */
 export interface DecisionQuery {
   readonly selector: Selector;
   readonly fromWallMs: Milliseconds;
@@ -45,13 +45,13 @@
 }
 
 /**
- * The decisions of this host: newest in a ring, all in segments in the object store.
- * A segment's name is its host and the time it was written, so that one request's decisions
- * are found by its identifier without an index.
+ * Log of this host's decisions: the newest are in a ring in memory, all in segments in the object
+ * store. A segment is named after its host and the time of its write. A request's identifier
+ * contains its host and arrival time, so that its decisions are found without an index.
  */
 export class DecisionLog {
   readonly #ring: Decision[] = [];
-  /** Lines that no segment holds yet; written out at once, so that a flush is no long pause. */
+  /** Lines that are in no segment yet; serialized when recorded, so that a flush causes no long pause. */
   #unsaved: string[] = [];
   #unreplicated: Decision[] = [];
   readonly #peerDecisions = new Map<string, Decision[]>();
@@ -80,20 +80,20 @@
     }
   }
 
-  /** Decisions since the last call, for a copy at a peer. */
+  /** Returns the decisions since the last call, for a replica at a peer. */
   takeUnreplicated(): readonly Decision[] {
     const unreplicated = this.#unreplicated;
     this.#unreplicated = [];
     return unreplicated;
   }
 
-  /** Keeps a peer's newest decisions until the peer has saved them itself. */
+  /** Keeps a replica of a peer's newest decisions, for the time until the peer has saved them itself. */
   storePeerDecisions(host: string, decisions: readonly Decision[]): void {
     const kept = [...(this.#peerDecisions.get(host) ?? []), ...decisions];
     this.#peerDecisions.set(host, kept.slice(-this.ringSize));
   }
 
-  /** Writes what is unsaved as one segment; on failure it is kept for the next time. */
+  /** Writes the unsaved decisions as one segment; after a failure they are kept for the next flush. */
   async flush(): Promise<void> {
     if (this.#unsaved.length === 0) return;
     const batch = this.#unsaved;
@@ -105,13 +105,16 @@
     else this.#unsaved = [...batch, ...this.#unsaved].slice(-this.ringSize);
   }
 
-  /** What this host holds in memory about a request. */
+  /** Decisions about a request that this host has in memory. */
   findLocal(requestId: string): readonly Decision[] {
     const peerDecisions = [...this.#peerDecisions.values()].flat();
     return [...this.#ring, ...peerDecisions].filter((decision) => decision.requestId === requestId);
   }
 
-  /** All that memory and the object store hold about a request, in order of time. */
+  /**
+   * Decisions about a request in memory and in the object store, ordered by time. If the store
+   * fails, only those in memory, or the fault if there are none.
+   */
   async find(requestId: string): Promise<Result<readonly Decision[], StoreFault>> {
     const parsed = parseRequestId(requestId);
     if (!parsed) return Result.ok([]);
@@ -127,13 +130,16 @@
     return Result.ok(mergeDecisions(stored.value, local));
   }
 
-  /** What this host holds in memory of a query. */
+  /** Decisions that match a query and that this host has in memory. */
   queryLocal(query: DecisionQuery): readonly Decision[] {
     const peerDecisions = [...this.#peerDecisions.values()].flat();
     return [...this.#ring, ...peerDecisions].filter((decision) => matchesQuery(decision, query));
   }
 
-  /** Decisions of all hosts whose labels are selected, in a time range. */
+  /**
+   * Decisions of all hosts whose labels and time match a query. If the store fails, only those in
+   * this host's memory, or the fault if there are none.
+   */
   async query(query: DecisionQuery): Promise<Result<readonly Decision[], StoreFault>> {
     const local = this.queryLocal(query);
     const isMatch = (decision: Decision) => matchesQuery(decision, query);
@@ -166,7 +172,7 @@
   }
 }
 
-/** Joins decisions from several sources, each once, in order of time. */
+/** Merges decisions from several sources without duplicates, ordered by time. */
 export function mergeDecisions(...sources: readonly (readonly Decision[])[]): readonly Decision[] {
   const byText = new Map(sources.flat().map((decision) => [JSON.stringify(decision), decision]));
   return [...byText.values()].sort((a, b) => a.wallMs - b.wallMs);
--- a/packages/state/src/decisions/decision.ts
+++ b/packages/state/src/decisions/decision.ts
@@ -1,10 +1,10 @@
 import { labelsSchema } from '@poppypond/objects';
 import { z } from 'zod';
 
-/** Something that was considered and not chosen, and why. */
+/** Schema of a candidate that was considered and not chosen, with the reason. */
 export const rejectedCandidateSchema = z.object({ candidate: z.string(), why: z.string() });
 
-/** One decision, as it can be asked about afterwards. */
+/** Schema of the record of one decision, which can be queried afterwards. */
 export const decisionSchema = z.object({
   kind: z.enum([
     'admit',
@@ -24,17 +24,17 @@
   labels: labelsSchema,
   /** `name@revision` of the rule or object that decided. */
   rule: z.string().optional(),
-  /** Revision of the configuration in force. */
+  /** Revision of the active configuration. */
   revision: z.int().nonnegative(),
   /** What was chosen, or the result code. */
   choice: z.string(),
-  /** The values that were read to decide. */
+  /** The values that the decision is based on. */
   state: z.record(z.string(), z.union([z.string(), z.number(), z.boolean()])),
   passedOver: z.array(rejectedCandidateSchema),
 });
 
-/** One decision. */
+/** The record of one decision. */
 export type Decision = z.infer<typeof decisionSchema>;
 
-/** What was considered and not chosen. */
+/** A candidate that was considered and not chosen, with the reason. */
 export type RejectedCandidate = z.infer<typeof rejectedCandidateSchema>;
--- a/packages/state/src/lease/lease.test.ts
+++ b/packages/state/src/lease/lease.test.ts
@@ -15,7 +15,7 @@
   byMs: fc.integer({ min: 0, max: 700 }),
 });
 
-/** Three hosts tick, pause and release in any order; at most one holds, and fences only rise. */
+/** Three hosts tick, pause and release in any order; at most one holds the lease, and fencing tokens never decrease. */
 function exclusiveHolderProperty(makeRows: () => MemoryRows) {
   return fc.asyncProperty(fc.array(step, { maxLength: 60 }), async (steps) => {
     const rows = makeRows();
@@ -43,7 +43,7 @@
   });
 }
 
-/** Each call of the table takes some time before and after its effect, so that hosts overlap. */
+/** Delays each table call before and after it takes effect, so that calls of different hosts overlap. */
 function delayCall(clock: ManualClock): Promise<void> {
   return new Promise((resolve) => {
     clock.after(CALL_MS, resolve);
@@ -51,14 +51,14 @@
 }
 
 describe('Lease', () => {
-  it('is never held by two at once, and its fencing token only rises with the holder', async () => {
+  it('has at most one holder at a time, and a fencing token that never decreases', async () => {
     await fc.assert(
       exclusiveHolderProperty(() => new MemoryRows()),
       { seed: 22, numRuns: 1000 },
     );
   });
 
-  it('is found out by the checker when the store does not check', async () => {
+  it('violates the property if the store ignores version checks', async () => {
     const checked = await fc.check(
       exclusiveHolderProperty(() => new UncheckedRows()),
       { seed: 22, numRuns: 1000 },
@@ -66,7 +66,7 @@
     expect(checked.failed).toBe(true);
   });
 
-  it('is taken from a holder that is paused, which then knows that it has lost it', async () => {
+  it('is taken over from a paused holder, which then knows that it no longer holds it', async () => {
     const rows = new MemoryRows();
     const clock = new ManualClock();
     const table = new MemoryTable(rows);
--- a/packages/state/src/lease/lease.ts
+++ b/packages/state/src/lease/lease.ts
@@ -11,14 +11,14 @@
 
 type LeaseRow = z.infer<typeof leaseRowSchema>;
 
-/** Share of the duration after which the holder renews. */
+/** Fraction of the lease duration after which the holder renews. */
 const RENEW_FRACTION = 1 / 3;
-/** Share of the duration that the holder gives up early, for clocks that run at unlike rates. */
+/** Fraction of the lease duration by which the holder stops early, as the hosts' clocks run at different rates. */
 const SAFETY_FRACTION = 0.15;
 
-/** A lease that is held. */
+/** A lease that this host holds. */
 export interface HeldLease {
-  /** Rises with each holder; orders carry it. */
+  /** Fencing token, which increases with each holder; sent with each order. */
   readonly fence: number;
   /** Monotonic time until which orders may be sent. */
   readonly validUntilMs: Milliseconds;
@@ -30,9 +30,9 @@
 }
 
 /**
- * A lease in the platform's table. No wall clock is compared: a candidate takes the lease
- * only after it has seen the same row version for the row's whole duration by its own
- * monotonic clock. The holder counts its time from before it sent the write that succeeded.
+ * A lease in the platform's table. Wall clocks of hosts are never compared: a candidate takes the
+ * lease only after it has seen the same row version for the duration given in the row, by its own
+ * monotonic clock. The holder's validity starts before it sends the write that succeeds.
  */
 export class Lease {
   #held: (HeldLease & { readonly version: number }) | undefined;
@@ -49,18 +49,18 @@
     this.#key = `lease/${name}`;
   }
 
-  /** How often `tick` is to be called. */
+  /** Period at which `tick` must be called. */
   get tickPeriodMs(): Milliseconds {
     return this.durationMs * RENEW_FRACTION;
   }
 
-  /** The lease, if it is held and an order sent now would still be in time. */
+  /** The lease, if this host holds it and an order sent now would still be in time; otherwise undefined. */
   held(): HeldLease | undefined {
     if (!this.#held || this.clock.monotonicMs() >= this.#held.validUntilMs) return undefined;
     return this.#held;
   }
 
-  /** Renews the lease, takes it when it is free or lapsed, or goes on observing it. */
+  /** Renews the lease if this host holds it, takes it if it is free or expired, or else keeps observing it. */
   async tick(): Promise<void> {
     const row = await this.table.get(this.#key);
     if (row.isErr) return;
@@ -71,7 +71,7 @@
     if (this.#isAvailable(version, current)) return this.#write(version, current);
   }
 
-  /** Gives the lease up so that another host needn't wait for it to lapse. */
+  /** Releases the lease, so that another host need not wait for it to expire. */
   async release(): Promise<void> {
     const held = this.#held;
     this.#held = undefined;
--- a/packages/state/src/once/at-most-once-ledger.test.ts
+++ b/packages/state/src/once/at-most-once-ledger.test.ts
@@ -18,13 +18,13 @@
 const call = fc.record({
   host: fc.integer({ min: 0, max: 2 }),
   key: fc.constantFrom('k1', 'k2'),
-  /** Where the host dies: before dispatch, after it, or not at all. */
+  /** Whether the host crashes before dispatch, after it, or not at all. */
   crashPoint: fc.constantFrom('no', 'no', 'before', 'after'),
   /** Whether the service confirms that it did not run the call. */
   isRefused: fc.boolean(),
 });
 
-/** Sends calls at three hosts in any order of events and checks what ran against what was told. */
+/** Sends calls to three hosts with any order of events, and compares the runs with the outcomes reported to callers. */
 function atMostOnceProperty(makeRows: () => MemoryRows) {
   return fc.asyncProperty(
     fc.scheduler(),
@@ -78,14 +78,14 @@
 }
 
 describe('AtMostOnceLedger', () => {
-  it('runs each key at most once, and tells nobody wrongly that it was not run', async () => {
+  it('runs each key at most once, and never reports a call that ran as not run', async () => {
     await fc.assert(
       atMostOnceProperty(() => new MemoryRows()),
       { seed: SEED, numRuns: RUNS },
     );
   });
 
-  it('is found out by the checker when the store does not check', async () => {
+  it('violates the property if the store ignores version checks', async () => {
     const checked = await fc.check(
       atMostOnceProperty(() => new UncheckedRows()),
       { seed: SEED },
@@ -93,7 +93,7 @@
     expect(checked.failed).toBe(true);
   });
 
-  it('refuses a key that comes again with another request, and frees one that was not run', async () => {
+  it('refuses a key that is reused for another request, and frees the key of a call that was not run', async () => {
     const rows = new MemoryRows();
     const scheduler = { schedule: <Value>(task: Promise<Value>) => task };
     const clock = new ScheduledClock(scheduler);
--- a/packages/state/src/once/at-most-once-ledger.ts
+++ b/packages/state/src/once/at-most-once-ledger.ts
@@ -4,7 +4,7 @@
 import { z } from 'zod';
 import type { StoreFault, TableRow, TableStore } from '../table/table-store.js';
 
-/** The prefix of the ledger's rows. */
+/** Key prefix of the ledger's rows. */
 export const LEDGER_PREFIX = 'once/';
 
 const responseSchema = z.object({
@@ -31,20 +31,20 @@
   z.object({ state: z.literal('not_run'), claimId: z.string(), wallMs: z.number() }),
 ]);
 
-/** An entry of the ledger. */
+/** The ledger's entry for one call. */
 export type LedgerEntry = z.infer<typeof ledgerEntrySchema>;
 
-/** A recorded answer. */
+/** The recorded response to a call. */
 export type RecordedResponse = z.infer<typeof responseSchema>;
 
-/** The right to run one call; only its holder dispatches it. */
+/** The exclusive right to run one call; only the holder of the claim dispatches the call. */
 export interface Claim {
   readonly key: string;
   readonly claimId: string;
   readonly requestHash: string;
 }
 
-/** Either the call may run now, or it ran before with this answer. */
+/** Either the call may run now, or it ran before with this response. */
 export type ClaimResult =
   | { readonly kind: 'claimed'; readonly claim: Claim }
   | { readonly kind: 'ran_before'; readonly answer: RecordedResponse };
@@ -58,14 +58,15 @@
 const IN_PROGRESS_RETRY_AFTER_MS = 1000;
 const STORE_RETRY_AFTER_MS = 2000;
 
-/** The row of a call; the key is encoded so that no workspace can name another's row. */
+/** Row key of a call. The idempotency key is URL-encoded, so that no workspace can address another's rows. */
 export function ledgerKey(workspace: string, idempotencyKey: string): string {
   return `${LEDGER_PREFIX}${workspace}/${encodeURIComponent(idempotencyKey)}`;
 }
 
 /**
- * Calls that run at most once. A claim is one conditional write before dispatch; the outcome
- * is written in batches after the caller has its answer, and again until it is stored.
+ * Ledger of calls that run at most once for each idempotency key. A claim is one conditional write
+ * before dispatch. Outcomes are written in batches after the caller has its response, and retried
+ * until they are stored.
  */
 export class AtMostOnceLedger {
   readonly #outcomes = new Map<string, LedgerEntry>();
@@ -77,12 +78,12 @@
     readonly owner: Owner,
   ) {}
 
-  /** Outcomes that are not stored yet. */
+  /** Number of outcomes that are not stored yet. */
   get pendingOutcomes(): number {
     return this.#outcomes.size;
   }
 
-  /** Claims a call before it is dispatched. Every fault but `key_in_progress` means not run. */
+  /** Claims a call before it is dispatched. Every fault except `key_in_progress` means that the call was not run. */
   async claim(
     workspace: string,
     idempotencyKey: string,
@@ -121,7 +122,7 @@
     if (!entry) {
       this.#abandonClaim(claim);
       return Result.err(
-        storeUnavailableFault({ reason: 'unconfirmed', detail: 'the claim was not stored' }),
+        storeUnavailableFault({ reason: 'unconfirmed', detail: 'the claim is not in the table' }),
       );
     }
     if (sent.isErr) this.#abandonClaim(claim);
@@ -150,7 +151,9 @@
     }
     if (entry.requestHash !== requestHash) {
       return Result.err(
-        fault('key_reused', 'the first request differs', { path: 'idempotency-key' }),
+        fault('key_reused', 'the first request with this key was different', {
+          path: 'idempotency-key',
+        }),
       );
     }
     if (entry.state === 'ran') return Result.ok({ kind: 'ran_before', answer: entry.answer });
@@ -159,7 +162,7 @@
       : Result.err(inProgress());
   }
 
-  /** Another send has the claim: its outcome usually comes within a moment. */
+  /** Waits for the outcome of another request that holds the claim, which is usually stored shortly after. */
   async #waitForOutcome(
     key: string,
     requestHash: string,
@@ -172,7 +175,7 @@
     return this.#resolveEntry(key, requestHash, entry, row.value, pollsLeft - 1);
   }
 
-  /** Records that the call ran with this answer; stored soon, and retried until it is. */
+  /** Records that the call ran with this response. The record is stored shortly after, with retries until it is. */
   recordRan(claim: Claim, answer: RecordedResponse): void {
     const { claimId, requestHash } = claim;
     const wallMs = this.clock.wallMs();
@@ -214,8 +217,9 @@
   }
 
   /**
-   * Writes outcomes in one transaction. `ran` needs no check: only the holder of the claim
-   * writes the row. A tombstone must not overwrite another host's claim, so it is checked.
+   * Writes all `ran` outcomes in one transaction without checks, because only the holder of a claim
+   * writes its row. Each `not_run` tombstone is written with a version check, because it must not
+   * overwrite another host's claim. Returns the outcomes that are stored.
    */
   async #storeOutcomes(
     outcomes: readonly (readonly [string, LedgerEntry])[],
@@ -251,7 +255,7 @@
 }
 
 function inProgress(): Fault {
-  return fault('key_in_progress', 'ask again with the same key', {
+  return fault('key_in_progress', 'retry with the same key', {
     retryAfterMs: IN_PROGRESS_RETRY_AFTER_MS,
   });
 }
@@ -264,7 +268,7 @@
   return entry;
 }
 
-/** Whether a row of the ledger is older than `retentionMs` and can be deleted. */
+/** Whether the value of a row is a ledger entry older than `retentionMs`, which can be deleted. */
 export function isExpiredEntry(
   value: unknown,
   nowWallMs: Milliseconds,
--- a/packages/state/src/table/platform-connection.ts
+++ b/packages/state/src/table/platform-connection.ts
@@ -4,14 +4,14 @@
 import { Result } from 'true-myth';
 import type { StoreFault } from './table-store.js';
 
-/** Counts of calls, for the platform's budget. */
+/** Numbers of calls, which count toward the platform's budget. */
 export interface StoreCallCounts {
   reads: number;
   writes: number;
   failures: number;
 }
 
-/** Calls to the platform, counted and with one time limit. */
+/** HTTP calls to the platform, counted and with one timeout for all. */
 export class PlatformConnection {
   readonly calls: StoreCallCounts = { reads: 0, writes: 0, failures: 0 };
 
@@ -20,7 +20,7 @@
     readonly timeoutMs: Milliseconds,
   ) {}
 
-  /** Makes a call; a status that is not in `accepted` is an error that changed nothing. */
+  /** Makes a call. A status that is not in `accepted` is an `unavailable` fault: nothing was changed. */
   async call(
     call: Omit<HttpCall, 'url' | 'timeoutMs'>,
     path: string,
@@ -33,7 +33,10 @@
     if (reply.isOk && accepted.includes(reply.value.status)) return Result.ok(reply.value);
     this.calls.failures += 1;
     if (reply.isOk) {
-      return Result.err({ reason: 'unavailable', detail: `status ${String(reply.value.status)}` });
+      return Result.err({
+        reason: 'unavailable',
+        detail: `unexpected status ${String(reply.value.status)}`,
+      });
     }
     const isUnconfirmed = isWrite && reply.error.mayHaveArrived;
     return Result.err({
--- a/packages/state/src/table/platform-hosts.ts
+++ b/packages/state/src/table/platform-hosts.ts
@@ -9,10 +9,10 @@
 });
 const OK = 200;
 
-/** What the host list says of a host; it lags behind reality. */
+/** State of a host in the host list, which lags behind the actual state. */
 export type HostState = 'live' | 'leaving' | 'gone';
 
-/** The platform's list of live and leaving hosts over HTTP. */
+/** The platform's list of live, leaving and gone hosts over HTTP. */
 export class PlatformHosts {
   constructor(readonly connection: PlatformConnection) {}
 
--- a/packages/state/src/table/platform-table.ts
+++ b/packages/state/src/table/platform-table.ts
@@ -53,7 +53,7 @@
   }
 }
 
-/** Reads every row under `prefix`, page by page. */
+/** Reads all rows whose key starts with `prefix` and comes after `after`, page by page. */
 export async function scanAll(
   table: TableStore,
   prefix: string,
--- a/packages/state/src/table/table-store.ts
+++ b/packages/state/src/table/table-store.ts
@@ -4,25 +4,25 @@
 /** A row of the platform's table. */
 export interface TableRow {
   readonly key: string;
-  /** Rises with each write; 0 stands for a row that does not exist. */
+  /** Increases with each write; 0 stands for a row that does not exist. */
   readonly version: number;
   readonly value: unknown;
 }
 
-/** All checks must hold, then all writes are applied together. */
+/** An atomic transaction: if all checked rows have the given version, all writes are applied together. */
 export interface TableTransaction {
   readonly checks?: readonly { readonly key: string; readonly version: number }[];
   readonly puts?: readonly { readonly key: string; readonly value: Json }[];
   readonly deletes?: readonly string[];
 }
 
-/** `applied`, or the keys whose check failed. */
+/** `applied` with the version of the written rows, or `conflict` with the keys whose check failed. */
 export type TransactionResult =
   | { readonly kind: 'applied'; readonly version: number }
   | { readonly kind: 'conflict'; readonly keys: readonly string[] };
 
 /**
- * Why the store gave no answer. `unavailable`: nothing was changed.
+ * Failure of a call to the store. `unavailable`: nothing was changed.
  * `unconfirmed`: a write may have taken effect or may still do so.
  */
 export interface StoreFault {
