--- a/packages/policy/src/decisions.test.ts
+++ b/packages/policy/src/decisions.test.ts
@@ -150,7 +150,7 @@
   });
 });
 
-describe('share transfers', () => {
+describe('shares', () => {
   it('transfers the share of an idle host, and splits fairly between two hosts that need more', () => {
     expect(shareToTransfer({ share: 0.4, demand: 0 }, { share: 0, demand: 1 }, 1)).toBeCloseTo(0.4);
     expect(shareToTransfer({ share: 1, demand: 2 }, { share: 0, demand: 2 }, 1)).toBeCloseTo(0.5);
--- a/packages/policy/src/engine-load.ts
+++ b/packages/policy/src/engine-load.ts
@@ -104,7 +104,10 @@
     this.#cachedState = undefined;
   }
 
-  /** Records work dispatched to the engine. Returns the dispatch number, which is sent with the call and reported as `seen`. */
+  /**
+   * Records work dispatched to the engine. Returns the number of the dispatch, which is sent with
+   * the call and comes back in reports as `seen`.
+   */
   onDispatch(work: DispatchedWork, nowMs: Milliseconds): number {
     const state = this.state(nowMs);
     const aheadTokens = prefillTokensAtOrAbove(state, work.priority) + work.prefillTokens;
--- a/packages/policy/src/health/retry-budget.ts
+++ b/packages/policy/src/health/retry-budget.ts
@@ -3,23 +3,24 @@
  * Each first attempt adds `share` of a retry to the budget, which holds at most `reserve` retries.
  */
 export class RetryBudget {
-  #availableRetries: number;
+  /** Retries that are available now. */
+  #saved: number;
 
   constructor(
     readonly share: number,
     readonly reserve: number,
   ) {
-    this.#availableRetries = reserve;
+    this.#saved = reserve;
   }
 
   onFirstAttempt(): void {
-    this.#availableRetries = Math.min(this.reserve, this.#availableRetries + this.share);
+    this.#saved = Math.min(this.reserve, this.#saved + this.share);
   }
 
   /** Takes one retry from the budget. Returns false if none is available. */
   tryTake(): boolean {
-    if (this.#availableRetries < 1) return false;
-    this.#availableRetries -= 1;
+    if (this.#saved < 1) return false;
+    this.#saved -= 1;
     return true;
   }
 }
--- a/packages/state/src/config/configuration.test.ts
+++ b/packages/state/src/config/configuration.test.ts
@@ -78,7 +78,7 @@
 }
 
 describe('ConfigurationWriter', () => {
-  it('reports the revision of each change if two operators change one object', async () => {
+  it('reports both revisions and the other operator if two operators change one object', async () => {
     const writer = new ConfigurationWriter(
       new MemoryTable(new MemoryRows()),
       new ScheduledClock(IMMEDIATE_SCHEDULER),
