--- a/packages/policy/src/lanes/lanes.ts
+++ b/packages/policy/src/lanes/lanes.ts
@@ -39,12 +39,7 @@
     sumOfSquares += bucket.count * mean * mean;
     sumOfInverses += bucket.count / mean;
   }
-  return {
-    count,
-    workTokens,
-    sumOfSquares,
-    sumOfInverses,
-  };
+  return { count, workTokens, sumOfSquares, sumOfInverses };
 }
 
 /**
--- a/packages/policy/src/placement/group-plan.ts
+++ b/packages/policy/src/placement/group-plan.ts
@@ -10,7 +10,7 @@
 /** Maximum number of engines for one prompt. */
 export const MAX_GROUP_SIZE = 8;
 
-/** Smaller parts are not worth a handover between engines, in tokens. */
+/** Parts with fewer tokens are not worth a handover between engines. */
 const MIN_PART_TOKENS = 16_384;
 
 /** Number of a pool's engines that prompts split over several engines may use. */
--- a/packages/policy/src/placement/predicted-start.ts
+++ b/packages/policy/src/placement/predicted-start.ts
@@ -23,7 +23,7 @@
   readonly otherZoneMs: Milliseconds;
   /** Duration of one engine step with a full chunk; new work waits for the running step to end. */
   readonly stepMs: Milliseconds;
-  /** Fraction of an engine's KV memory that is left unplanned for the actual size of sequences. */
+  /** Fraction of an engine's KV memory that placement keeps free for the actual size of sequences. */
   readonly memoryMargin: number;
 }
 
--- a/packages/policy/src/prefix-index.ts
+++ b/packages/policy/src/prefix-index.ts
@@ -43,7 +43,7 @@
     this.#sequence = undefined;
   }
 
-  /** Number of leading prompt tokens that the engine probably has cached, from the chain value of each prompt block. */
+  /** Leading prompt tokens that the engine probably has cached; `chain` holds the chain values of the prompt's blocks. */
   cachedTokens(chain: readonly string[]): number {
     let matched = 0;
     while (matched < chain.length && this.#blocks.has(chain[matched] ?? '')) matched += 1;
--- a/packages/state/src/config/configuration-reader.ts
+++ b/packages/state/src/config/configuration-reader.ts
@@ -5,7 +5,7 @@
 import { readChangesAfter, readConfiguration, readHeadRevision } from './read-configuration.js';
 
 /** Changes that a read activated, and the revision they follow. */
-export interface ReadChanges {
+export interface ActivatedChanges {
   readonly after: number;
   readonly changes: readonly ObjectChange[];
 }
@@ -13,7 +13,7 @@
 /** Keeps a `ConfigurationHolder` up to date from the table, with one read at a time. */
 export class ConfigurationReader {
   #lastResponseAtMs: Milliseconds | undefined;
-  #currentRead: Promise<ReadChanges | undefined> | undefined;
+  #currentRead: Promise<ActivatedChanges | undefined> | undefined;
 
   constructor(
     readonly holder: ConfigurationHolder,
@@ -30,14 +30,14 @@
    * Reads and activates new changes and returns them. Returns undefined if there are none, if the
    * read failed, or if the whole configuration was read instead of single changes.
    */
-  poll(): Promise<ReadChanges | undefined> {
+  poll(): Promise<ActivatedChanges | undefined> {
     this.#currentRead ??= this.#read().finally(() => {
       this.#currentRead = undefined;
     });
     return this.#currentRead;
   }
 
-  #read(): Promise<ReadChanges | undefined> {
+  #read(): Promise<ActivatedChanges | undefined> {
     return this.holder.current.revision === 0 ? this.#readAll() : this.#readChanges();
   }
 
@@ -48,7 +48,7 @@
     this.holder.replace(read.value);
   }
 
-  async #readChanges(): Promise<ReadChanges | undefined> {
+  async #readChanges(): Promise<ActivatedChanges | undefined> {
     const head = await readHeadRevision(this.table);
     if (head.isErr) return undefined;
     this.#lastResponseAtMs = this.clock.monotonicMs();
--- a/packages/state/src/config/configuration.test.ts
+++ b/packages/state/src/config/configuration.test.ts
@@ -12,7 +12,7 @@
 function workspace(name: string, weight: number): ConfigObject {
   const parsed = parseObjects([{ kind: 'workspace', name, spec: { weight } }]);
   const [object] = parsed.isOk ? parsed.value : [];
-  if (!object) throw new Error('not valid');
+  if (!object) throw new Error('the workspace is not valid');
   return object;
 }
 
--- a/packages/state/src/once/at-most-once-ledger.test.ts
+++ b/packages/state/src/once/at-most-once-ledger.test.ts
@@ -99,12 +99,12 @@
     const clock = new ScheduledClock(scheduler);
     const ledger = new AtMostOnceLedger(new MemoryTable(rows), clock, newOwner('host-1'));
     const first = await ledger.claim('farms', 'k', 'one');
-    if (first.isErr || first.value.kind !== 'claimed') throw new Error('not claimed');
+    if (first.isErr || first.value.kind !== 'claimed') throw new Error('the key was not claimed');
     ledger.recordRan(first.value.claim, { status: 200, contentType: 'text/plain', body: 'r' });
     const other = await ledger.claim('farms', 'k', 'two');
     expect(other.isErr && other.error.code).toBe('key_reused');
     const second = await ledger.claim('farms', 'k2', 'one');
-    if (second.isErr || second.value.kind !== 'claimed') throw new Error('not claimed');
+    if (second.isErr || second.value.kind !== 'claimed') throw new Error('the key was not claimed');
     ledger.recordNotRun(second.value.claim);
     while (ledger.pendingOutcomes > 0) await new Promise((resolve) => setImmediate(resolve));
     const again = await ledger.claim('farms', 'k2', 'one');
