--- a/packages/relay/src/backend/gated-engine-memory.test.ts
+++ b/packages/relay/src/backend/gated-engine-memory.test.ts
@@ -7,7 +7,7 @@
 const NOTICE: ServerNotice = { isLeaving: true, backoffMs: undefined };
 
 /** An engine that answers all, and what it was sent; `restMs`: how long it rests, `orders` may be sent still. */
-function gatedEngine(backoffMs: number, maxCommands: number) {
+function engine(backoffMs: number, maxCommands: number) {
   const sent: string[] = [];
   const observed: string[] = [];
   const memory: EngineMemory = {
@@ -43,7 +43,7 @@
 
 describe('LifeAwareMemory', () => {
   it('passes on what engines say of themselves in answers of all kinds', async () => {
-    const { heard, gated } = gatedEngine(0, 9);
+    const { heard, gated } = engine(0, 9);
     await gated.reserve(SERVER, 'm', 10, 2200);
     await gated.release(SERVER, 'm');
     await gated.readStatus(SERVER);
@@ -51,13 +51,13 @@
   });
 
   it('asks an engine that rests nothing, which counts as alive', async () => {
-    const { sent, gated } = gatedEngine(3000, 2);
+    const { sent, gated } = engine(3000, 2);
     expect(await gated.readStatus(SERVER)).toEqual({ running: 0, memoryTokens: 0 });
     expect(sent).toEqual([]);
   });
 
   it('holds memory over a rest by one order, and sends no more than may be sent', async () => {
-    const { sent, gated } = gatedEngine(3000, 2);
+    const { sent, gated } = engine(3000, 2);
     expect((await gated.reserve(SERVER, 'm', 10, 2200)).isHeld).toBe(true);
     expect((await gated.release(SERVER, 'm')).isAnswered).toBe(true);
     expect((await gated.reserve(SERVER, 'm', 10, 2200)).isHeld).toBe(false);
--- a/packages/relay/src/notices/permit-client.ts
+++ b/packages/relay/src/notices/permit-client.ts
@@ -65,12 +65,12 @@
 
   #markUnavailable({ id }: BackendServer, retryAfterMs: Milliseconds = MAX_RETRY_DELAY_MS): void {
     const { clock, random } = this.parts;
-    const delayMs = Math.max(MIN_RETRY_DELAY_MS, retryAfterMs) * (1 + random());
+    const forMs = Math.max(MIN_RETRY_DELAY_MS, retryAfterMs) * (1 + random());
     const nowMs = clock.monotonicMs();
     for (const [other, untilMs] of this.#unavailableUntilMs) {
       if (untilMs <= nowMs) this.#unavailableUntilMs.delete(other);
     }
-    this.#unavailableUntilMs.set(id, nowMs + Math.min(MAX_RETRY_DELAY_MS, delayMs));
+    this.#unavailableUntilMs.set(id, nowMs + Math.min(MAX_RETRY_DELAY_MS, forMs));
   }
 
   #requestFor({ id, service }: BackendServer, isSent: boolean): PlanRequest {
--- a/packages/relay/src/notices/send-gate.test.ts
+++ b/packages/relay/src/notices/send-gate.test.ts
@@ -58,11 +58,11 @@
 
   it('takes what one says of a life that is over for nothing', () => {
     const { gate, notices, servers } = createHost();
-    const restarted = SERVERS.map((server) => ({ ...server, startedAtMs: 2000 }));
-    servers.replace(restarted, 0, 2);
+    const born = SERVERS.map((server) => ({ ...server, startedAtMs: 2000 }));
+    servers.replace(born, 0, 2);
     if (ONE)
       notices.recordNotice({ ...ONE, startedAtMs: 1000 }, { isLeaving: true, backoffMs: 3000 });
-    expect(tryAdmit(gate, restarted[0])).toBeUndefined();
+    expect(tryAdmit(gate, born[0])).toBeUndefined();
   });
 
   it('lets requests to one that leaves for a while, only where no other may take them', async () => {
--- a/packages/relay/src/request/prefill-monitor.test.ts
+++ b/packages/relay/src/request/prefill-monitor.test.ts
@@ -7,7 +7,7 @@
 function createMonitor() {
   const clock = new ManualClock();
   const unresponsive = new Set<string>();
-  const reported: string[] = [];
+  const found: string[] = [];
   let queries = 0;
   const monitor = new PrefillMonitor({
     clock,
@@ -15,13 +15,13 @@
       queries += 1;
       return Promise.resolve(!unresponsive.has(id));
     },
-    onUnresponsive: ({ id }) => reported.push(id),
+    onUnresponsive: ({ id }) => found.push(id),
   });
   const engines = ['i-1', 'i-2', 'i-3'].map(engineServer);
   return {
     clock,
     dead: unresponsive,
-    found: reported,
+    found: found,
     watch: monitor,
     engines,
     queryCount: () => queries,
--- a/packages/relay/src/request/silence-monitor.ts
+++ b/packages/relay/src/request/silence-monitor.ts
@@ -53,12 +53,12 @@
 
   /** An engine that answers a question for its state is only busy; reading anew would not help. */
   async #onSilence(): Promise<void> {
-    const monitored = this.#monitored;
-    if (!monitored) return;
-    const isBusy = this.#mayBeBusy(monitored) && (await this.parts.isResponsive(monitored.server));
-    if (this.#monitored !== monitored) return;
+    const silent = this.#monitored;
+    if (!silent) return;
+    const isBusy = this.#mayBeBusy(silent) && (await this.parts.isResponsive(silent.server));
+    if (this.#monitored !== silent) return;
     if (isBusy) this.#checkAfter(BUSY_RECHECK_MS);
-    else this.parts.onSilent(monitored.server);
+    else this.parts.onSilent(silent.server);
   }
 
   #mayBeBusy({ plan }: Choice): boolean {
--- a/packages/relay/src/request/startup-grace.test.ts
+++ b/packages/relay/src/request/startup-grace.test.ts
@@ -5,7 +5,7 @@
 import { describe, expect, it } from 'vitest';
 import { StartupGrace } from './startup-grace.js';
 
-function refusal(code: 'not_ready' | 'unknown_route'): Result<string, Fault> {
+function refused(code: 'not_ready' | 'unknown_route'): Result<string, Fault> {
   return Result.err(fault(code, 'why'));
 }
 
@@ -16,18 +16,18 @@
   const grace = new StartupGrace(clock);
   const sinceStart = () => clock.monotonicMs() - startedAtMs;
   const admit = () =>
-    sinceStart() >= knownAtMs ? Result.ok<string, Fault>('in') : refusal('not_ready');
-  const outcomes: { readonly isServed: boolean; readonly waitedMs: number }[] = [];
+    sinceStart() >= knownAtMs ? Result.ok<string, Fault>('in') : refused('not_ready');
+  const ended: { readonly isServed: boolean; readonly waitedMs: number }[] = [];
   for (let passedMs = 0; passedMs < forMs; passedMs += 10) {
     if (passedMs % 20 === 0) {
       const arrivedMs = sinceStart();
       void grace
         .waitForAdmission(admit, () => false)
-        .then(({ isOk }) => outcomes.push({ isServed: isOk, waitedMs: sinceStart() - arrivedMs }));
+        .then(({ isOk }) => ended.push({ isServed: isOk, waitedMs: sinceStart() - arrivedMs }));
     }
     await clock.advance(10);
   }
-  return outcomes;
+  return ended;
 }
 
 describe('StartHold', () => {
@@ -51,7 +51,7 @@
     const hold = new StartupGrace(clock);
     await clock.advance(60_000);
     let isKnown = false;
-    const admit = () => (isKnown ? Result.ok<string, Fault>('in') : refusal('not_ready'));
+    const admit = () => (isKnown ? Result.ok<string, Fault>('in') : refused('not_ready'));
     const isDisconnected = () => false;
     expect((await hold.waitForAdmission(admit, isDisconnected)).isErr).toBe(true);
     hold.onPause();
@@ -65,12 +65,12 @@
   it('waits for nothing else, and not for a caller that has left', async () => {
     const hold = new StartupGrace(new ManualClock());
     const unknown = await hold.waitForAdmission(
-      () => refusal('unknown_route'),
+      () => refused('unknown_route'),
       () => false,
     );
     expect(unknown.isErr && unknown.error.code).toBe('unknown_route');
     const gone = await hold.waitForAdmission(
-      () => refusal('not_ready'),
+      () => refused('not_ready'),
       () => true,
     );
     expect(gone.isErr).toBe(true);
