--- a/packages/relay/src/notices/limits-of-all-hosts.test.ts
+++ b/packages/relay/src/notices/limits-of-all-hosts.test.ts
@@ -13,16 +13,16 @@
 const ENGINES = 4;
 const PER_SECOND = 2;
 const WINDOW_MS: Milliseconds = 4000;
-/** What the limit names in the window; a place that was saved up and one that comes in meanwhile are allowed for. */
+/** What the limit allows in the window, plus one saved permit and one that becomes available within it. */
 const EXPECTED_MAX = (PER_SECOND * WINDOW_MS) / 1000 + 2;
-/** The most that a server may get while hosts fail, which nobody can know at once. */
+/** The most that a server may receive while hosts fail, as a failure is not detected at once. */
 const FAILURE_MAX = (1.5 * PER_SECOND * WINDOW_MS) / 1000 + 5;
 const SETTLING_MS: Milliseconds = 4000;
-const ANSWER_MS: Milliseconds = 50;
+const RESPONSE_MS: Milliseconds = 50;
 const DEMAND_PER_SECOND = 40;
-const AIM_MS: Milliseconds = 300;
+const TARGET_MS: Milliseconds = 300;
 
-/** A request as a host asks for its plan; ends when its caller would be refused. */
+/** A plan request of `host`, whose wait for a permit ends when its caller would be refused. */
 function requestOf(host: string, nowMs: Milliseconds): PlanRequest {
   const attemptId = randomId();
   return {
@@ -34,7 +34,7 @@
     priority: 1,
     promptTokens: 900,
     answerTokens: 10,
-    aimMs: AIM_MS,
+    aimMs: TARGET_MS,
     gapAimMs: 200,
     arrivedAtMs: nowMs,
     callerSilentSinceMs: nowMs,
@@ -42,11 +42,11 @@
     isRepeated: false,
     avoidedIds: [],
     excludedIds: [],
-    waitsForPermitUntilMs: nowMs + AIM_MS / 2,
+    waitsForPermitUntilMs: nowMs + TARGET_MS / 2,
   };
 }
 
-/** Hosts before four engines that all name the same limit, with callers at hosts by turns. */
+/** Hosts and four engines that all report the same rate limit; callers use the hosts in turn. */
 class RateLimitedFleet {
   readonly network = new MeshNetwork();
   readonly engines = Array.from({ length: ENGINES }, (_unused, index) =>
@@ -72,7 +72,7 @@
     await this.network.run(SETTLING_MS);
   }
 
-  /** Lets callers come for a while; `from` tells when what they cause counts. */
+  /** Lets callers send requests for `forMs`. */
   async runTraffic(forMs: Milliseconds): Promise<void> {
     const untilMs = this.nowMs + forMs;
     let owed = 0;
@@ -83,7 +83,7 @@
     }
   }
 
-  /** The most that an engine got in any 4 s from `fromMs` on. */
+  /** The most requests that an engine received in any 4 s from `fromMs` on. */
   mostInWindow(fromMs: Milliseconds): number {
     const counts = this.engines.flatMap(({ id }) => {
       const atMs = this.arrivals.filter(({ engine }) => engine === id).map((one) => one.atMs);
@@ -95,7 +95,7 @@
     return Math.max(0, ...counts);
   }
 
-  /** What was sent from `fromMs` on, of what the limits allow. */
+  /** Requests sent from `fromMs` on, as a share of what the limits allow. */
   usedShare(fromMs: Milliseconds): number {
     const allowed = (ENGINES * PER_SECOND * (this.nowMs - fromMs)) / 1000;
     return this.arrivals.filter(({ atMs }) => atMs >= fromMs).length / allowed;
@@ -121,7 +121,7 @@
   #recordArrival({ clock, mesh, notices }: Host, server: BackendServer, attemptId: string): void {
     this.arrivals.push({ engine: server.id, atMs: this.nowMs });
     const askedAtMs = clock.monotonicMs();
-    this.network.clock.after(ANSWER_MS, () => {
+    this.network.clock.after(RESPONSE_MS, () => {
       const limit = { kind: 'named', perSecond: PER_SECOND } as const;
       notices.recordNotice(server, { isLeaving: false, backoffMs: undefined, limit }, askedAtMs);
       mesh.end(attemptId, ENGINE_SERVICE);
@@ -131,14 +131,14 @@
   #gateOf(host: Host): SendGate {
     const known = this.#gates.get(host);
     if (known) return known;
-    const draw = () => 0.5;
+    const random = () => 0.5;
     const { clock, limits, list: servers } = host;
     const gate = new SendGate({
       clock,
       servers,
       limits,
-      rests: new ServerBackoffs(draw),
-      random: draw,
+      rests: new ServerBackoffs(random),
+      random,
     });
     this.#gates.set(host, gate);
     return gate;
@@ -152,8 +152,8 @@
   return fleet;
 }
 
-describe('limits that servers name for all hosts together', () => {
-  it.each([1, 8, 60, 330])('are used and kept by %i hosts', async (hosts) => {
+describe('fleet-wide rate limits of servers', () => {
+  it.each([1, 8, 60, 330])('are used and not exceeded by %i hosts', async (hosts) => {
     const fleet = await startFleet(hosts);
     const fromMs = fleet.nowMs;
     await fleet.runTraffic(8000);
@@ -161,7 +161,7 @@
     expect(fleet.usedShare(fromMs)).toBeGreaterThan(0.9);
   });
 
-  it('are kept as the host that gives out their places dies, and used again soon', async () => {
+  it('are exceeded by at most half when the host that grants permits dies, and are used again soon after', async () => {
     const fleet = await startFleet(8);
     const fromMs = fleet.nowMs;
     await fleet.runTraffic(3000);
@@ -176,7 +176,7 @@
     expect(fleet.usedShare(laterMs)).toBeGreaterThan(0.8);
   });
 
-  it('are kept by halves that are cut apart, and used in both', async () => {
+  it('are exceeded by at most half when a network partition begins or heals, and are used in both parts', async () => {
     const fleet = await startFleet(8);
     const fromMs = fleet.nowMs;
     const sideOf = (host: string) => Number(host.replace('host-', '')) % 2;
@@ -192,7 +192,7 @@
     expect(fleet.usedShare(healedMs + 3000)).toBeGreaterThan(0.9);
   });
 
-  it('are kept where a fifth of the messages between hosts are lost', async () => {
+  it('are exceeded by at most half when a fifth of the messages between hosts are lost', async () => {
     const fleet = await startFleet(8);
     const fromMs = fleet.nowMs;
     let sent = 0;
--- a/packages/relay/src/notices/permit-client.ts
+++ b/packages/relay/src/notices/permit-client.ts
@@ -4,21 +4,21 @@
 import type { PlacementOutcome } from '../planning/placement-client.js';
 import type { PlanRequest } from '../planning/plan-request.js';
 
-/** Places of servers' limits that an attempt was given. */
+/** Permits that an attempt was granted for rate-limited servers. */
 export interface SendPermit {
   readonly serverIds: readonly string[];
-  /** When this host was given them, on its clock. */
+  /** When this host received them, on its monotonic clock. */
   readonly grantedAtMs: Milliseconds;
 }
 
-/** How permits are asked for. */
+/** Sends permit requests to the planner. */
 export interface PermitPlacement {
-  place(request: PlanRequest, isOver: () => boolean): Promise<PlacementOutcome>;
-  /** Tells of a request without waiting for an answer. */
+  place(request: PlanRequest, isFinished: () => boolean): Promise<PlacementOutcome>;
+  /** Sends a request without waiting for an answer. */
   notify(request: PlanRequest): void;
 }
 
-/** What asking for permits needs. */
+/** Dependencies of `PermitClient`. */
 export interface PermitClientParts {
   readonly clock: Clock;
   readonly host: string;
@@ -27,24 +27,30 @@
   readonly random: () => number;
 }
 
-/** A server without a place is asked for again after this at least: hosts must not all ask for the next one. */
+/**
+ * Shortest delay before a server without a free permit is requested again, so that hosts don't all request its next
+ * one.
+ */
 const MIN_RETRY_DELAY_MS: Milliseconds = 50;
 const MAX_RETRY_DELAY_MS: Milliseconds = 2000;
-/** An order or a question waits for so long at most for the answer of whoever gives out places. */
+/** Longest wait of a reservation command or a status query for the answer of the host that grants permits. */
 const REQUEST_TIMEOUT_MS: Milliseconds = 200;
 
-/** Asks the host that gives out places of limits for what is not planned: calls, orders and questions. */
+/**
+ * Requests permits from the host that grants them, for what is not planned: calls, reservation commands and status
+ * queries.
+ */
 export class PermitClient {
   readonly #unavailableUntilMs = new Map<string, Milliseconds>();
 
   constructor(readonly parts: PermitClientParts) {}
 
-  /** Whether a place of a server may be there, as far as is known. */
+  /** Whether a permit for a server may be available, as far as this host knows. */
   mayHavePermit({ id }: BackendServer): boolean {
     return (this.#unavailableUntilMs.get(id) ?? 0) <= this.parts.clock.monotonicMs();
   }
 
-  /** Asks for one place of a server that is there now; undefined where there is none. */
+  /** Requests one permit for a server; returns undefined if none is available now. */
   async tryAcquire(server: BackendServer): Promise<SendPermit | undefined> {
     if (!this.mayHavePermit(server)) return undefined;
     const { clock, placement } = this.parts;
@@ -58,7 +64,7 @@
     return undefined;
   }
 
-  /** Has one place of a server counted that is used without being asked for. */
+  /** Reports one request to a server that is sent without a permit, so that it is counted against the limit. */
   recordUse(server: BackendServer): void {
     this.parts.placement.notify(this.#requestFor(server, true));
   }
--- a/packages/relay/src/notices/send-gate.test.ts
+++ b/packages/relay/src/notices/send-gate.test.ts
@@ -19,7 +19,7 @@
   return { isLeaving: false, backoffMs };
 }
 
-/** A host that knows three servers and nothing of them. */
+/** A host that lists three servers and has received no notices. */
 function createHost() {
   const clock = new ManualClock();
   const servers = new ServerList(clock, silentLog, LAST_RESORT_MS);
@@ -45,7 +45,7 @@
 }
 
 describe('SendGate', () => {
-  it('lets nothing to a server that has said that it leaves, whatever its entry says later', async () => {
+  it('sends nothing to a server that has announced that it leaves, whatever its entry says later', async () => {
     const { clock, gate, notices, servers } = createHost();
     record(notices, ONE, LEAVING);
     expect(tryAdmit(gate, ONE)).toBe('leaves');
@@ -56,7 +56,7 @@
     expect(gate.usableServers(SERVICE)).toEqual([TWO, THREE]);
   });
 
-  it('takes what one says of a life that is over for nothing', () => {
+  it('ignores notices of an earlier incarnation of a server', () => {
     const { gate, notices, servers } = createHost();
     const born = SERVERS.map((server) => ({ ...server, startedAtMs: 2000 }));
     servers.replace(born, 0, 2);
@@ -65,7 +65,7 @@
     expect(tryAdmit(gate, born[0])).toBeUndefined();
   });
 
-  it('lets requests to one that leaves for a while, only where no other may take them', async () => {
+  it('sends requests to a leaving server for a limited time, and only if no other server may take them', async () => {
     const { clock, gate, notices } = createHost();
     record(notices, ONE, LEAVING);
     record(notices, TWO, backoffNotice(5000));
@@ -78,7 +78,7 @@
     expect(gate.nextUsableInMs(SERVICE)).toBe(5000 - LAST_RESORT_MS);
   });
 
-  it('lets nothing to a server that rests, nor has it read a part', async () => {
+  it('sends nothing to a server in a backoff, and does not let it prefill a part', async () => {
     const { clock, gate, notices } = createHost();
     record(notices, ONE, backoffNotice(3000));
     expect(tryAdmit(gate, ONE)).toBe('rests');
@@ -89,7 +89,7 @@
     expect(tryAdmit(gate, ONE)).toBe('rests');
   });
 
-  it('tells when the first is back where all rest, and nothing where none is listed', async () => {
+  it('returns the time until the first backoff ends if all servers back off, and undefined if none is listed', async () => {
     const { clock, gate, notices, servers } = createHost();
     expect(gate.nextUsableInMs(SERVICE)).toBe(0);
     record(notices, ONE, backoffNotice(3000));
@@ -101,7 +101,7 @@
     expect(gate.nextUsableInMs(SERVICE)).toBeUndefined();
   });
 
-  it('lets nothing to a server that names a limit without a place that was given, and is still good', async () => {
+  it('sends nothing to a rate-limited server without a permit that is still valid', async () => {
     const { clock, gate, notices } = createHost();
     const limit = { kind: 'named', perSecond: 2 } as const;
     record(notices, ONE, { isLeaving: false, backoffMs: undefined, limit });
@@ -117,7 +117,7 @@
     expect(ONE && gate.admitAttempt({ ...attempt, server: ONE })?.why).toBe('limited');
   });
 
-  it('asks a server that names a limit nothing without a place, and has its orders counted', async () => {
+  it('sends a rate-limited server no status query without a permit, and reports its reservation commands', async () => {
     const { gate, notices } = createHost();
     const used: string[] = [];
     let permitsLeft = 1;
@@ -136,7 +136,7 @@
     expect(used).toEqual(['i-1']);
   });
 
-  it('lets nothing to a server that was chosen before it was found to leave by the list', () => {
+  it('sends nothing to a server that the list shows as draining after it was chosen', () => {
     const { gate, servers } = createHost();
     servers.replace([...SERVERS.slice(1), { ...engineServer('i-1'), isDraining: true }], 0, 2);
     expect(tryAdmit(gate, ONE)).toBe('not_listed');
--- a/packages/relay/src/notices/send-gate.ts
+++ b/packages/relay/src/notices/send-gate.ts
@@ -3,7 +3,7 @@
 import type { ServerList } from '../store/server-list.js';
 import type { SendPermit } from './permit-client.js';
 
-/** What the gate needs. */
+/** Dependencies of `SendGate`. */
 export interface SendGateParts {
   readonly clock: Clock;
   readonly servers: ServerList;
@@ -13,20 +13,20 @@
   readonly random: () => number;
 }
 
-/** Why a server may be sent nothing now. */
+/** Why nothing may be sent to a server now. */
 export type BlockReason = 'leaves' | 'rests' | 'not_listed' | 'limited';
 
-/** Servers that one attempt is to use. */
+/** The servers that one attempt uses. */
 export interface AttemptServers {
   readonly attemptId: string;
   readonly server: BackendServer;
-  /** Engines that read parts of its prompt. */
+  /** Engines that prefill parts of its prompt. */
   readonly readers: readonly BackendServer[];
-  /** Places that it was given of those that name limits. */
+  /** Permits that it was granted for the rate-limited ones among them. */
   readonly permit?: SendPermit | undefined;
 }
 
-/** How places of limits are asked for. */
+/** Source of permits for rate-limited servers. */
 export interface PermitSource {
   tryAcquire(server: BackendServer): Promise<SendPermit | undefined>;
   recordUse(server: BackendServer): void;
@@ -38,21 +38,21 @@
 };
 
 /**
- * Callers that are refused while all servers rest come back over this time after the first rest: all at once would
- * begin the next one. About as long as a server takes to be returned to by steps.
+ * Jitter for the retries of callers that are refused while all servers are in a backoff: if all retried at the end
+ * of the first backoff, they would cause the next one. About as long as the ramp-up of a server.
  */
 const CALLER_RETRY_JITTER_MS: Milliseconds = 500;
-/** A place of a limit that is not used for so long is void; others come in since. */
+/** A permit that is not used within this time expires, as the limit yields further permits meanwhile. */
 const PERMIT_LIFETIME_MS: Milliseconds = 1000;
-/** What had waited for this process while it stood still is taken in within this time. */
+/** After a process pause, messages that queued up during the pause are processed within this time. */
 const PAUSE_BACKLOG_MS: Milliseconds = 100;
-/** A server that is returned to by steps takes the next request when one has its answer. */
+/** Retry delay during a ramp-up: the server takes the next request as soon as another one is answered. */
 const RAMP_UP_POLL_MS: Milliseconds = 20;
 
 /**
- * Whether a server may be sent anything by this host, by what the server said itself. What is avoided is a preference
- * and gives way where too many are; this does not. Whoever chooses asks it, and so does whoever sends, right before
- * the first byte: choices are made elsewhere, or earlier.
+ * Decides by servers' own notices whether this host may send them anything. Unlike the avoidance of suspected
+ * servers, which is a preference and is ignored if too many are suspected, this is binding. It is consulted when a
+ * server is chosen and again right before the first byte is sent, as the choice may come from another host or be old.
  */
 export class SendGate {
   #permits: PermitSource = NO_PERMITS;
@@ -60,7 +60,7 @@
 
   constructor(readonly parts: SendGateParts) {}
 
-  /** Servers of a service that may be sent a request now, in an order that all hosts agree on. */
+  /** Returns the servers of a service that may be sent a request now, in an order that is the same on all hosts. */
   usableServers(service: string): readonly BackendServer[] {
     const { rests, servers } = this.parts;
     const ready = servers.available(service);
@@ -69,12 +69,15 @@
     return sendable.length > 0 ? sendable : this.#sendable(servers.lastResort(service));
   }
 
-  /** Whether a server may rest, or want rest again as it is returned to. */
+  /** Whether a server is in a backoff or in the ramp-up after one, in which it may ask for another. */
   isRecovering(server: BackendServer): boolean {
     return this.parts.rests.isRecovering(server);
   }
 
-  /** Ids of listed servers of a service that may be sent nothing now; for planners, which were told other things. */
+  /**
+   * Returns the ids of listed servers of a service that this host may send nothing now. Plan requests carry them, as
+   * planners may have received other notices.
+   */
   excludedIds(service: string): readonly string[] {
     const { rests, servers } = this.parts;
     const leaving = servers.leaving(service);
@@ -86,8 +89,8 @@
   }
 
   /**
-   * How long until a server of a service may be sent a request that all turn away now; 0 where one may, undefined
-   * where none is listed.
+   * Returns how long it takes until some server of a service may be sent a request; 0 if one may now, undefined if
+   * none is listed.
    */
   nextUsableInMs(service: string): Milliseconds | undefined {
     if (this.usableServers(service).length > 0) return 0;
@@ -101,14 +104,14 @@
     );
   }
 
-  /** When a caller may come back that is refused for want of a server that may be sent its request. */
+  /** Returns the jittered retry delay of a caller that is refused because no server may be sent its request. */
   callerRetryDelayMs(nextUsableInMs: Milliseconds): Milliseconds {
     return nextUsableInMs + this.parts.random() * CALLER_RETRY_JITTER_MS;
   }
 
   /**
-   * To be asked right before an attempt is sent, which counts as sent where it may be. Otherwise the id of a server
-   * that it would use and that may be sent nothing, and why.
+   * Checks an attempt right before it is sent. Returns undefined and counts the attempt as sent if all of its servers
+   * may be sent it; otherwise returns the id of a server that may not, and why.
    */
   admitAttempt(
     attempt: AttemptServers,
@@ -123,40 +126,41 @@
     return undefined;
   }
 
-  /** The head of an answer has come: the server took the request, and asks for no rest. */
+  /** Records that the head of a response arrived: the server accepted the request and asks for no backoff. */
   onAnswered(server: BackendServer, attemptId: string): void {
     this.parts.rests.onAnswered(server, attemptId);
   }
 
-  /** An attempt is over. */
+  /** Records that an attempt has ended. */
   onAttemptEnd(server: BackendServer, attemptId: string): void {
     this.parts.rests.onAttemptEnd(server, attemptId);
   }
 
-  /** Places of limits are asked for at `permits`. */
+  /** Sets where permits are requested. */
   setPermitSource(permits: PermitSource): void {
     this.#permits = permits;
   }
 
-  /** This process stood still: places that it is told of now were given long before. */
+  /** Handles a process pause: permits that are received right after it were granted long before. */
   onPause(): void {
     this.#permitsValidFromMs = this.parts.clock.monotonicMs() + PAUSE_BACKLOG_MS;
   }
 
-  /** Whether any server names a limit for all hosts together, or did lately. */
+  /** Whether any server reports a fleet-wide rate limit, or did recently. */
   get hasLimits(): boolean {
     return this.parts.limits.size > 0;
   }
 
-  /** Whether a server names a limit for all hosts together, or did lately. */
+  /** Whether a server reports a fleet-wide rate limit, or did recently. */
   isLimited(server: BackendServer): boolean {
     const { clock, limits } = this.parts;
     return limits.isLimited(server, clock.monotonicMs());
   }
 
   /**
-   * Whether an order may go to an engine; the few that may while it rests are counted. One that names a limit gets
-   * them all the same, counted: what a request uses there would be cut, or stay held.
+   * Whether an engine may be sent a reservation command; counts the few that are allowed during a backoff. A
+   * rate-limited engine is sent commands without a permit, which are counted against its limit: without them a running
+   * request would lose its memory, or memory would stay reserved.
    */
   tryReservationCommand(server: BackendServer): boolean {
     const { clock, rests } = this.parts;
@@ -165,13 +169,13 @@
     return true;
   }
 
-  /** Whether a question may go to an engine. */
+  /** Whether an engine may be sent a status query; takes a permit if the engine is rate-limited. */
   async tryStatusQuery(server: BackendServer): Promise<boolean> {
     if (this.backoffLeftMs(server) > 0) return false;
     return !this.isLimited(server) || (await this.#permits.tryAcquire(server)) !== undefined;
   }
 
-  /** How long the server rests still; 0 where it does not. */
+  /** Remaining backoff of a server; 0 if there is none. */
   backoffLeftMs(server: BackendServer): Milliseconds {
     const { clock, rests } = this.parts;
     return rests.leftMs(server, clock.monotonicMs());
@@ -183,7 +187,10 @@
     return servers.filter((server) => rests.canSend(server, nowMs));
   }
 
-  /** What a server gets from all hosts is counted where places are given, so nothing goes there without one. */
+  /**
+   * Finds out whether the permit for a rate-limited server is missing or expired. The granting host counts what all
+   * hosts send, so nothing is sent without a permit.
+   */
   #findLimitBlock(server: BackendServer, permit: SendPermit | undefined): BlockReason | undefined {
     if (!this.isLimited(server)) return undefined;
     if (!permit?.serverIds.includes(server.id)) return 'limited';
@@ -192,7 +199,10 @@
     return isFresh && grantedAtMs >= this.#permitsValidFromMs ? undefined : 'limited';
   }
 
-  /** `takes`: whether it is sent the request itself, of which it is given one after the other after a rest. */
+  /**
+   * `receivesRequest`: whether the server is sent the request itself; only these requests are limited in the ramp-up
+   * after a backoff.
+   */
   #findBlock(server: BackendServer, receivesRequest: boolean): BlockReason | undefined {
     const { clock, rests, servers } = this.parts;
     const nowMs = clock.monotonicMs();
--- a/packages/relay/src/notices/server-notices.ts
+++ b/packages/relay/src/notices/server-notices.ts
@@ -13,46 +13,49 @@
 import type { ServerNotice } from '../ports.js';
 import type { ServerList } from '../store/server-list.js';
 
-/** What the notices need. */
+/** Dependencies of `ServerNotices`. */
 export interface ServerNoticesParts {
   readonly clock: Clock;
   readonly log: Log;
   readonly measures: Measures;
-  /** Names this host. */
+  /** Name of this host. */
   readonly host: string;
   readonly servers: ServerList;
   readonly rests: ServerBackoffs;
   readonly limits: ServerLimits;
 }
 
-/** Servers whose unreadable words are remembered, so that each is logged once. */
+/** Maximum number of servers whose unreadable limit notices are remembered; each such notice is logged once. */
 const MAX_UNREADABLE = 256;
 const LOGGED_TEXT_LENGTH = 40;
 
 /**
- * What servers say of themselves in their answers of all kinds. That a server leaves binds all hosts and holds as
- * long as its life; that it wants rest binds this host until the rest is over; a limit binds all hosts together for as
- * long as answers name it. Each is logged once, and each change of a limit.
+ * Processes the notices that servers report about themselves in responses of all kinds. A leaving notice binds all
+ * hosts for the rest of the server's incarnation; a backoff binds only this host until it ends; a rate limit binds
+ * all hosts together for as long as responses report it. Logs each notice once, and each change of a limit.
  */
 export class ServerNotices {
-  #onLeaving: (server: BackendServer, saidAtMs: Milliseconds) => void = () => undefined;
+  #onLeaving: (server: BackendServer, announcedAtMs: Milliseconds) => void = () => undefined;
   #onLimit: (limit: ServerLimit) => void = () => undefined;
-  /** Words of limits that could not be read, the last of each server. */
+  /** The last limit notice of each server that could not be parsed, by server id. */
   readonly #unreadable = new Map<string, string>();
 
   constructor(readonly parts: ServerNoticesParts) {}
 
-  /** `callback` is told of each life that this host is the first to hear of that it leaves, and since when. */
-  onLeaving(callback: (server: BackendServer, saidAtMs: Milliseconds) => void): void {
+  /**
+   * Sets the callback for each incarnation whose leaving notice this host receives first; `announcedAtMs`: when it was
+   * received.
+   */
+  onLeaving(callback: (server: BackendServer, announcedAtMs: Milliseconds) => void): void {
     this.#onLeaving = callback;
   }
 
-  /** `callback` is told of each change of a limit that this host hears of itself. */
+  /** Sets the callback for each change of a limit that this host learns from a server's response. */
   onLimit(callback: (limit: ServerLimit) => void): void {
     this.#onLimit = callback;
   }
 
-  /** Takes in what the server that was asked as `server` has said in an answer; `askedAtMs`: when it was asked. */
+  /** Records the notice in a response of `server`, the incarnation that the request was sent to at `askedAtMs`. */
   recordNotice(
     server: BackendServer,
     { isLeaving, backoffMs, limit }: ServerNotice,
@@ -63,7 +66,7 @@
     if (limit) this.#recordLimit(server, limit, askedAtMs);
   }
 
-  /** A host has told what a server said of a limit; false where that is nothing new. */
+  /** Records a rate limit that a peer has received from a server; returns false if it changes nothing. */
   recordPeerLimit(told: PeerLimit, reportedBy: string): boolean {
     const { clock, limits } = this.parts;
     const before = limits.find(told.server);
@@ -71,11 +74,14 @@
     return this.#logLimitChange(told.server, change, before, reportedBy);
   }
 
-  /** The server told `toldBy` at `saidAtMs`, on this process's clock, that it leaves; false where that was known. */
-  recordLeaving(server: BackendServer, saidAtMs: Milliseconds, reportedBy: string): boolean {
+  /**
+   * Records that a server told host `reportedBy` at `announcedAtMs`, on this process's clock, that it is leaving; returns
+   * false if that was known.
+   */
+  recordLeaving(server: BackendServer, announcedAtMs: Milliseconds, reportedBy: string): boolean {
     const { log, measures, servers } = this.parts;
     const listed = servers.stateOf(server);
-    if (!servers.onLeaving(server, saidAtMs)) return false;
+    if (!servers.onLeaving(server, announcedAtMs)) return false;
     measures.count('poppypond_server_words_total', { word: 'leaving' });
     log.warn('server_leaving', {
       server: server.id,
@@ -153,7 +159,7 @@
     this.#logBackoffEnd(server, nowMs, forMs);
   }
 
-  /** Waits on where the rest was prolonged by less than is told. */
+  /** Logs the end of a backoff; waits again if the backoff was extended by less than is logged as a new one. */
   #logBackoffEnd(server: BackendServer, sinceMs: Milliseconds, waitMs: Milliseconds): void {
     const { clock, log, rests } = this.parts;
     clock.after(waitMs, () => {
