--- a/packages/relay/src/quarantine/shared-quarantine.ts
+++ b/packages/relay/src/quarantine/shared-quarantine.ts
@@ -9,22 +9,22 @@
 } from '@poppypond/fleet';
 import type { Log, Measures } from '@poppypond/telemetry';
 
-/** What it needs. */
+/** Dependencies of `SharedQuarantine`. */
 export interface SharedQuarantineParts {
   readonly clock: Clock;
   readonly log: Log;
   readonly measures: Measures;
-  /** This host. */
+  /** Name of this host. */
   readonly host: string;
   readonly quarantine: Quarantine;
 }
 
-/** Word of a trial is with all hosts within this time, by a heartbeat if its message is lost. */
+/** All hosts learn of a trial run within this time, from a heartbeat if the message about it is lost. */
 const GRACE_PER_RANK_MS: Milliseconds = 500;
-/** Hosts after this one give a trial at the same time: some ten seconds after the first would. */
+/** Hosts beyond this rank share one grace period: they allow a trial run ten seconds after the first host would. */
 const MAX_RANK = 20;
 
-/** Which servers ended under a request, when and by whose word, for people. */
+/** Formats which servers terminated while running a request, how long ago, and which host reported it. */
 export function describeTerminations({ lastTerminations }: QuarantineEntry, nowMs: number): string {
   return lastTerminations
     .map(
@@ -33,39 +33,41 @@
     .join(', ');
 }
 
-/** What this host and its peers know of requests under which servers ended; logs each change of belief. */
+/**
+ * The quarantine of requests whose attempts terminate servers, as known to this host and its peers; logs each change.
+ */
 export class SharedQuarantine implements QuarantineRegistry {
   #onChange: (entry: QuarantineEntry) => void = () => undefined;
   #rankOfHost: () => number = () => 0;
 
   constructor(readonly parts: SharedQuarantineParts) {}
 
-  /** `callback` is told what this host has found out by itself. */
+  /** Sets the callback for changes that this host has found out itself. */
   onChange(callback: (entry: QuarantineEntry) => void): void {
     this.#onChange = callback;
   }
 
-  /** `place` tells how many hosts that are there come before this one. */
+  /** Sets how the rank of this host is found: the number of reachable hosts before it. */
   setRankSource(place: () => number): void {
     this.#rankOfHost = place;
   }
 
-  /** Whether a request whose name begins with `hint` may be known. */
-  mayContain(hint: () => string): boolean {
-    return this.parts.quarantine.mayContain(hint);
+  /** Whether a request whose content id begins with `prefix` may be known. */
+  mayContain(prefix: () => string): boolean {
+    return this.parts.quarantine.mayContain(prefix);
   }
 
-  /** What is known of a request; undefined where nothing is. */
+  /** Returns the entry of a request, or undefined if there is none. */
   find(content: string): QuarantineEntry | undefined {
     return this.parts.quarantine.find(content);
   }
 
-  /** To be asked as a run of a request begins. */
+  /** Returns the terminations that are known as a run of a request begins. */
   historyOf(content: string): TerminationHistory {
     return this.parts.quarantine.historyOf(content);
   }
 
-  /** Whether a request may run now. */
+  /** Decides whether a request may run now; publishes a trial run that this allows. */
   judge(content: string): QuarantineVerdict {
     const { clock, quarantine } = this.parts;
     const verdict = quarantine.judge(content, clock.monotonicMs(), this.#graceMs);
@@ -74,46 +76,50 @@
     return verdict;
   }
 
-  /** Until this host gives a trial, which callers are told to come back for. */
+  /** Returns the time until this host allows a trial run, which callers receive as their retry delay. */
   quarantinedForMs({ quarantinedUntilMs }: QuarantineEntry): Milliseconds {
     return Math.max(0, quarantinedUntilMs + this.#graceMs - this.parts.clock.monotonicMs());
   }
 
-  /** A server ended under a run of this host that began when `began` was known; what is known now. */
-  onTermination(content: string, began: TerminationHistory, server: string): QuarantineEntry {
+  /**
+   * Records that a server terminated during a run of this host; `history`: what was known as the run began. Returns
+   * the new entry.
+   */
+  onTermination(content: string, history: TerminationHistory, server: string): QuarantineEntry {
     const { clock, quarantine, host } = this.parts;
     const wasQuarantined = this.#isQuarantined(content);
     const end = { server, host, atMs: clock.monotonicMs() };
-    const entry = quarantine.onTermination(content, began, end);
+    const entry = quarantine.onTermination(content, history, end);
     if (isQuarantined(entry) && !wasQuarantined) this.#publish('held', entry);
     else this.#onChange(entry);
     return entry;
   }
 
-  /** A request was served by this host. */
+  /** Records that this host has served a request, which ends its quarantine. */
   onServed(content: string): void {
     const { clock, quarantine } = this.parts;
     const entry = quarantine.onServed(content, clock.monotonicMs());
     if (entry) this.#publish('freed', entry);
   }
 
-  /** Takes in what a peer has told; the entries that were news. */
+  /** Merges entries from a peer and returns those that were new. */
   mergeFromPeer(entries: readonly QuarantineEntry[], host: string): readonly QuarantineEntry[] {
     return entries.filter((entry) => {
-      const wasHeld = this.#isQuarantined(entry.content);
+      const wasQuarantined = this.#isQuarantined(entry.content);
       if (!this.parts.quarantine.merge(entry)) return false;
       const isNowQuarantined = isQuarantined(entry);
-      if (isNowQuarantined !== wasHeld) this.#log(isNowQuarantined ? 'held' : 'freed', entry, host);
+      if (isNowQuarantined !== wasQuarantined)
+        this.#log(isNowQuarantined ? 'held' : 'freed', entry, host);
       return true;
     });
   }
 
-  /** Entries for a peer. */
+  /** Returns at most `most` entries for a peer; `turn` selects which of the older ones. */
   entriesFor(turn: number, most: number): readonly QuarantineEntry[] {
     return this.parts.quarantine.entriesFor(turn, most);
   }
 
-  /** Forgets what counts for nothing any more. */
+  /** Removes entries that no longer have an effect. */
   expire(): void {
     const { clock, measures, quarantine } = this.parts;
     const nowMs = clock.monotonicMs();
--- a/packages/relay/src/quarantine/termination-detector.test.ts
+++ b/packages/relay/src/quarantine/termination-detector.test.ts
@@ -25,7 +25,7 @@
   lastEventId: undefined,
   forwarded: [],
 };
-/** Nothing listens there: it is below the ports that tests take. */
+/** No process listens on this port: it is below the range that tests use. */
 const REFUSING_PORT = 9;
 
 const listening: Server[] = [];
@@ -34,9 +34,9 @@
   for (const server of listening.splice(0)) server.close();
 });
 
-function serverAt(id: string, port: number, bornMs = 1): BackendServer {
+function serverAt(id: string, port: number, startedAtMs = 1): BackendServer {
   const place = { address: '127.0.0.1', port, availabilityZone: 'z' };
-  return { id, service: 's', ...place, slots: 1, isDraining: false, startedAtMs: bornMs };
+  return { id, service: 's', ...place, slots: 1, isDraining: false, startedAtMs };
 }
 
 async function listen(): Promise<number> {
@@ -47,7 +47,7 @@
   return typeof bound === 'object' && bound ? bound.port : 0;
 }
 
-function make() {
+function createDetector() {
   const clock = new SystemClock();
   const servers = new ServerList(clock, silentLog);
   const shared = { clock, log: silentLog, measures: new Measures(), host: 'host-1' };
@@ -56,17 +56,17 @@
   const follow = (body: string, caller = CALLER) => {
     const content = contentOf(caller, 'w', Buffer.from(body));
     const followed = new FollowedRequest(quarantine, content);
-    const onFound = (server: ProbedServer) => found.push(server);
+    const onProbed = (server: ProbedServer) => found.push(server);
     return {
       followed,
-      ends: new TerminationDetector({ clock, servers, onProbed: onFound }, followed),
+      ends: new TerminationDetector({ clock, servers, onProbed }, followed),
     };
   };
   return { servers, follow, found };
 }
 
 describe('SharedQuarantine', () => {
-  it('tells callers to come back when this host gives the trial, not when the first one would', async () => {
+  it('returns the time until this host, not the first in rank, allows the trial run', async () => {
     const clock = new ManualClock();
     const shared = { clock, log: silentLog, measures: new Measures(), host: 'host-4' };
     const quarantine = new SharedQuarantine({ ...shared, quarantine: new Quarantine() });
@@ -85,9 +85,9 @@
   });
 });
 
-describe('RunEnds', () => {
-  it('counts ends of attempts of one try and of others, whatever the identifiers of the tries', async () => {
-    const { follow } = make();
+describe('TerminationDetector', () => {
+  it('counts terminations over all tries of a request, whatever the identifiers of the tries', async () => {
+    const { follow } = createDetector();
     const first = follow('body');
     for (const attempt of ['a', 'b']) {
       first.followed.begin(attempt);
@@ -105,8 +105,8 @@
     expect(follow('body', { ...CALLER, path: '/q' }).followed.checkHold()).toBeUndefined();
   });
 
-  it('counts one end for an attempt, though its server and its readers are asked after', async () => {
-    const { follow, found } = make();
+  it('counts one termination for an attempt whose decode and prefill engines both terminated', async () => {
+    const { follow, found } = createDetector();
     const run = follow('body');
     run.followed.begin('a');
     for (const id of ['writer', 'reader']) {
@@ -115,8 +115,8 @@
     expect(found.map(({ ends }) => ends)).toEqual([1, 1]);
   });
 
-  it('counts no server that lives, but one whose next life is told soon after', async () => {
-    const { servers, follow, found } = make();
+  it('does not count a server that accepts connections, unless its next incarnation is listed soon after', async () => {
+    const { servers, follow, found } = createDetector();
     const server = serverAt('s1', await listen());
     servers.replace([server], 0, 1);
     const run = follow('body');
--- a/packages/relay/src/quarantine/termination-detector.ts
+++ b/packages/relay/src/quarantine/termination-detector.ts
@@ -5,20 +5,20 @@
 import type { ServerState } from '@poppypond/web';
 import type { ServerList } from '../store/server-list.js';
 
-/** How it was found that a server ended, or that it lives. */
+/** Result of a check whether a server has terminated; `listening` if it has not. */
 export type ServerFinding = ServerState | 'started_again';
 
-/** What was found of a server after an attempt, for its log line. */
+/** Result of the check of one server after an attempt, for the log. */
 export interface ProbedServer {
   readonly server: BackendServer;
   readonly content: string;
   readonly found: ServerFinding;
   readonly why: string;
-  /** Ends under the request that are known now, this one included. */
+  /** Terminations that are now counted against the request, including this one. */
   readonly ends: number;
 }
 
-/** What the search for ends needs. */
+/** Dependencies of `TerminationDetector`. */
 export interface TerminationDetectorParts {
   readonly clock: Clock;
   readonly servers: ServerList;
@@ -26,31 +26,37 @@
 }
 
 /**
- * The most that a retry waits for the word whether its server has ended: a port that refuses says so within
- * a round trip, 3 ms between zones 1.4 ms apart; a machine that is gone says nothing, and the retry goes first.
+ * Longest time that a retry waits to learn whether the server has terminated. A closed port refuses the connection
+ * within a round trip, 3 ms between availability zones that are 1.4 ms apart; a host that is gone does not answer,
+ * and the retry proceeds.
  */
 const PROBE_WAIT_MS: Milliseconds = 50;
-/** A process that is started again in place is listed with its new birth by its second heartbeat. */
+/** A process that restarts in place is listed with its new start time by its second heartbeat, within this time. */
 const RESTART_WATCH_MS: Milliseconds = 6000;
 
-/** Finds out which servers ended under the attempts of one request. */
+/** Detects which servers terminated while they ran attempts of one request. */
 export class TerminationDetector {
   constructor(
     readonly parts: TerminationDetectorParts,
     readonly followed: FollowedRequest,
   ) {}
 
-  /** A server that an attempt needs has started again, so the life that ran it is over. */
+  /**
+   * Records that a server that an attempt depends on has restarted, so the incarnation that ran it has terminated.
+   */
   onRestarted(attempt: string, server: BackendServer): void {
-    this.#recordFinding(attempt, server, 'started_again', 'its life is over');
+    this.#recordFinding(attempt, server, 'started_again', 'a newer incarnation is listed');
   }
 
-  /** Finds out whether a server that an attempt needed has ended; resolves soon, found or not. */
+  /**
+   * Checks whether a server that an attempt depended on has terminated. Resolves within `PROBE_WAIT_MS`; a later
+   * result is still recorded.
+   */
   async probe(attempt: string, server: BackendServer, why: string): Promise<void> {
     const { clock } = this.parts;
     const probed = askServerState(clock, server).then((state) => {
       this.#recordFinding(attempt, server, state, why);
-      // A process that was started again at once listens too.
+      // A process that restarted at once accepts connections too.
       if (state === 'listening') this.#watchForRestart(attempt, server);
     });
     await Promise.race([probed, delay(clock, PROBE_WAIT_MS)]);
