--- a/packages/relay/src/server/caller-listener.ts
+++ b/packages/relay/src/server/caller-listener.ts
@@ -5,27 +5,27 @@
 import type { RelayWire } from '../ports.js';
 import { CallerResponse } from '../request/caller-response.js';
 
-/** A request that was read whole. */
+/** A request that was received completely. */
 export interface ReceivedRequest {
   readonly body: Buffer;
   readonly answer: CallerResponse;
-  /** When its head was read. */
+  /** When its head was received. */
   readonly arrivedAtMs: Milliseconds;
 }
 
-/** What the server needs. */
+/** Dependencies of `CallerListener`. */
 export interface CallerListenerParts {
   readonly clock: Clock;
   readonly wire: RelayWire;
   readonly maxBodyBytes: () => number;
-  /** Whether connections end with their next answer. */
+  /** Whether connections are closed after their next response. */
   readonly isStopping: () => boolean;
   readonly onRequest: (request: ReceivedRequest) => void;
 }
 
-/** Heads larger than this are refused by the parser; callers are told a smaller limit. */
+/** The HTTP parser refuses larger heads; the limit that callers are given is smaller. */
 const MAX_HEADER_BYTES = 64 * 1024;
-/** Until the configuration tells otherwise. */
+/** Idle timeout until the configuration sets another. */
 const DEFAULT_IDLE_TIMEOUT_MS: Milliseconds = 60_000;
 const HEADERS_TIMEOUT_MS: Milliseconds = 30_000;
 
@@ -35,13 +35,14 @@
   for await (const chunk of message) {
     if (!Buffer.isBuffer(chunk)) continue;
     bytes += chunk.length;
-    if (bytes > maxBytes) return fault('body_too_large', 'the body is over the limit');
+    if (bytes > maxBytes)
+      return fault('body_too_large', 'the request body is larger than the limit');
     chunks.push(chunk);
   }
   return Buffer.concat(chunks);
 }
 
-/** Takes callers' connections, reads whole requests and hands them on. */
+/** HTTP server for callers: receives complete requests and passes them to `onRequest`. */
 export class CallerListener {
   readonly #server: Server;
 
@@ -64,18 +65,18 @@
     });
   }
 
-  /** Connections without a request are closed after this time. */
+  /** Sets the time after which idle connections are closed. */
   setIdleTimeout(idleMs: Milliseconds): void {
     this.#server.keepAliveTimeout = idleMs;
   }
 
-  /** Takes no more connections and closes those without a request. */
+  /** Stops accepting connections and closes idle ones. */
   close(): void {
     this.#server.close();
     this.closeIdle();
   }
 
-  /** Closes connections without a request. */
+  /** Closes idle connections. */
   closeIdle(): void {
     this.#server.closeIdleConnections();
   }
@@ -90,7 +91,7 @@
       if (Buffer.isBuffer(body)) onRequest({ body, answer, arrivedAtMs });
       else answer.refuse(body);
     } catch {
-      // The caller left before its request was whole; there is nobody to answer.
+      // The caller disconnected before its request was complete, so there is nobody to respond to.
     }
   }
 }
--- a/packages/relay/src/server/status-server.ts
+++ b/packages/relay/src/server/status-server.ts
@@ -5,10 +5,10 @@
 const NOT_FOUND = 404;
 const UNAVAILABLE = 503;
 
-/** Answers to `GET` by path. */
+/** Response handlers by exact path. */
 export type StatusPages = Readonly<Record<string, (response: ServerResponse) => void>>;
 
-/** Answers 200 where `isReady`, else 503. */
+/** Returns a handler that responds with 200 if `isReady`, otherwise with 503. */
 export function readinessPage(isReady: () => boolean): (response: ServerResponse) => void {
   return (response) => {
     response.writeHead(isReady() ? OK : UNAVAILABLE);
@@ -16,7 +16,7 @@
   };
 }
 
-/** Answers with text. */
+/** Returns a handler that responds with text in the Prometheus exposition format. */
 export function textPage(text: () => Promise<string>): (response: ServerResponse) => void {
   return (response) => {
     void text().then((body) => {
@@ -26,7 +26,7 @@
   };
 }
 
-/** Serves a few pages without arguments; rejects when the port is taken. */
+/** Serves pages by exact path; rejects if the port is in use. */
 export function serveStatusPages(
   address: string,
   port: number,
