--- a/packages/relay/src/request/admit.ts
+++ b/packages/relay/src/request/admit.ts
@@ -6,32 +6,34 @@
 import type { CallerHead } from '../ports.js';
 import type { RelayParts } from './relay-parts.js';
 
-/** What the configuration in force says of a request. */
+/** What the active configuration determines for a request. */
 export interface AdmittedRequest {
   readonly route: Route;
   readonly service: string;
-  /** Figures of the service's engines; undefined for plain services. */
+  /** Timing and memory figures of the service's engines; undefined for plain services. */
   readonly figures: EngineFigures | undefined;
   /** Undefined on routes that need no key. */
   readonly workspace: string | undefined;
-  /** The workspace's own, or else the route's; 0 is the most urgent. */
+  /** The priority of the workspace if it has one, otherwise of the route; 0 is the most urgent. */
   readonly priority: number;
   readonly configurationVersion: number;
 }
 
-/** When a caller may come back to a host that is catching up with the store. */
+/** Retry delay for callers of a host that is catching up with the store. */
 const SYNC_RETRY_DELAY_MS = 500;
 
-/** Finds the route, checks the key and picks the service, or says why the request is refused. */
+/** Finds the route, checks the key and picks the service; returns a fault if the request is refused. */
 export function admit(parts: RelayParts, caller: CallerHead): Result<AdmittedRequest, Fault> {
   const table = parts.activeConfiguration.table;
   if (!table) {
     return Result.err(
-      fault('not_ready', 'no configuration is known yet', { retryAfterMs: SYNC_RETRY_DELAY_MS }),
+      fault('not_ready', 'no configuration has been loaded yet', {
+        retryAfterMs: SYNC_RETRY_DELAY_MS,
+      }),
     );
   }
   const route = table.match(caller.hostName, caller.path);
-  if (!route) return Result.err(fault('unknown_route', 'no route has this host and path'));
+  if (!route) return Result.err(fault('unknown_route', 'no route matches this host and path'));
   const requiresKey = table.needsKeys && !route.isAuthExempt;
   if (requiresKey && parts.keyTrust.verdict() === 'refused') {
     return Result.err(
@@ -45,7 +47,8 @@
   if (requiresKey && !workspace)
     return Result.err(fault('unauthenticated', 'the key is not known'));
   const service = chooseService(route, parts.random());
-  if (service === undefined) return Result.err(fault('no_backend', 'the route leads nowhere'));
+  if (service === undefined)
+    return Result.err(fault('no_backend', 'the route has no target service'));
   return Result.ok({
     route,
     service,
--- a/packages/relay/src/request/attempt-history.ts
+++ b/packages/relay/src/request/attempt-history.ts
@@ -4,18 +4,18 @@
 import type { Route } from '@poppypond/routing';
 import type { RequestTelemetry } from './request-telemetry.js';
 
-/** What the tally needs. */
+/** Dependencies of `AttemptHistory`. */
 export interface AttemptHistoryParts {
   readonly route: Route;
   readonly telemetry: RequestTelemetry;
   readonly leftMs: () => Milliseconds;
-  /** Whether the request is not to be run now, as servers have ended under it. */
+  /** Whether the request may not run now because servers terminated while running it. */
   readonly isQuarantined: () => boolean;
-  /** Takes one retry out of the shared budget; false where it is used up. */
+  /** Takes one retry from the shared retry budget; returns false if it is exhausted. */
   readonly takeRetry: () => boolean;
 }
 
-/** The attempts of one request that are over, and whether another may follow. */
+/** Counts the finished attempts of one request and decides whether another may follow. */
 export class AttemptHistory {
   #sent = 0;
   #undelivered = 0;
@@ -29,39 +29,39 @@
     return this.#sent;
   }
 
-  /** Attempts that no server of the service has seen. */
+  /** Attempts that reached no server of the service. */
   get undelivered(): number {
     return this.#undelivered;
   }
 
-  /** Whether an attempt that failed or was given up may have run the request. */
+  /** Whether a failed or cancelled attempt may have run the request. */
   get mayHaveRun(): boolean {
     return this.#mayHaveRun;
   }
 
-  /** Servers that failed this request. */
+  /** Ids of the servers that failed this request. */
   get failedIds(): ReadonlySet<string> {
     return this.#failedIds;
   }
 
-  /** Whether the request may be run twice. */
+  /** Whether the request may be run more than once. */
   get mayRepeat(): boolean {
     const { kind, isResumable } = this.parts.route;
     return kind === 'safe' || (kind === 'stream' && isResumable);
   }
 
-  /** The server answered to its end. */
+  /** Counts an attempt with a complete response. */
   onAnswered(): void {
     this.#sent += 1;
   }
 
-  /** The attempt was given up before its answer was over. */
+  /** Counts an attempt that was cancelled before its response was complete. */
   onCancelled(): void {
     this.#sent += 1;
     this.#mayHaveRun = true;
   }
 
-  /** Counts a failed attempt; true where another follows, which the budget then counts. */
+  /** Counts a failed attempt; returns true if another follows, which is taken from the retry budget. */
   onFailed(serverId: string, failure: AttemptFailure): boolean {
     if (isUndelivered(failure)) this.#undelivered += 1;
     else this.#sent += 1;
@@ -70,7 +70,7 @@
     return this.#tryRetry(failure, this.#sent);
   }
 
-  /** Whether a silent attempt, which still runs, is given up for another that the budget then counts. */
+  /** Decides whether a running attempt is abandoned for another, which is taken from the retry budget. */
   tryAbandon(serverId: string): boolean {
     if (!this.mayRepeat || !this.#tryRetry('unknown', this.#sent + 1)) return false;
     this.#failedIds.add(serverId);
--- a/packages/relay/src/request/attempt-monitor.ts
+++ b/packages/relay/src/request/attempt-monitor.ts
@@ -7,21 +7,21 @@
 import { PrefillMonitor } from './prefill-monitor.js';
 import { SilenceMonitor } from './silence-monitor.js';
 
-/** What the watch needs. */
+/** Dependencies of `AttemptMonitor`. */
 export interface AttemptMonitorParts {
   readonly clock: Clock;
   readonly memory: EngineMemory;
   readonly servers: ServerList;
   readonly route: Route;
-  /** Whether another server may be tried, so that silence and dead readers are looked for. */
+  /** Whether another server may be tried; if not, silence and dead prefill engines are not monitored. */
   readonly mayRepeat: boolean;
-  /** A server that the attempt needs is silent or dead, and why that is believed. */
+  /** Called when a server that the attempt depends on is silent or dead, with the reason. */
   readonly onUnresponsive: (server: BackendServer, why: string) => void;
-  /** A server that the attempt needs has started again, and knows nothing of it. */
+  /** Called when a server that the attempt depends on has restarted and lost its work. */
   readonly onRestarted: (server: BackendServer) => void;
 }
 
-/** Looks after the servers that one attempt at a time needs. */
+/** Monitors the servers that the current attempt depends on. */
 export class AttemptMonitor {
   readonly #silence: SilenceMonitor;
   readonly #prefills: PrefillMonitor;
@@ -43,12 +43,12 @@
       clock,
       isResponsive,
       onUnresponsive: (server) => {
-        onUnresponsive(server, 'it reads a part and gives no answer');
+        onUnresponsive(server, 'prefills a part and does not answer status queries');
       },
     });
   }
 
-  /** Begins with an attempt that starts now. */
+  /** Starts monitoring an attempt that begins now. */
   begin(choice: Choice, timeLeftMs: Milliseconds): void {
     const requiredServers = [choice.server, ...choice.readers];
     const ends = requiredServers.map((server) =>
@@ -64,13 +64,13 @@
     if (choice.readers.length > 0) this.#prefills.begin(requiredServers);
   }
 
-  /** Events have come: the prompt is read. */
+  /** Records events, which mean that the prefill is done. */
   onEvents(): void {
     this.#prefills.end();
     if (this.parts.mayRepeat) this.#silence.onEvents();
   }
 
-  /** Ends; nothing where nothing is watched. */
+  /** Stops monitoring; does nothing if nothing is monitored. */
   end(): void {
     this.#silence.end();
     this.#prefills.end();
--- a/packages/relay/src/request/attempt-outcome-handler.ts
+++ b/packages/relay/src/request/attempt-outcome-handler.ts
@@ -13,23 +13,23 @@
 import type { FinalResponse } from './final-response.js';
 
 const MIN_SERVER_ERROR_STATUS = 500;
-/** Engines have no errors of an application; plain services do. */
+/** A 500 of an engine means that the engine failed; a plain service may return it for an application error. */
 const INTERNAL_SERVER_ERROR = 500;
 const MISDIRECTED = 421;
-/** Statuses that promise that nothing was run; only a server's own mark makes that true. */
+/** Statuses that by convention mean that nothing was run; only the server's own header confirms it. */
 const UNPROCESSED_STATUSES: ReadonlySet<number> = new Set([408, MISDIRECTED, 429, 503]);
 
-/** Why an attempt was given up by this host. */
+/** Why this host abandoned an attempt. */
 export interface Abandonment {
-  /** Whether another follows. */
+  /** Whether another attempt follows. */
   readonly isRetried: boolean;
-  /** Why the request ends with it; undefined where it doesn't. */
+  /** Why the request fails with this attempt; undefined if it does not. */
   readonly failureReason: string | undefined;
-  /** How long its server had said nothing. */
+  /** How long its server had sent nothing. */
   readonly silentMs: Milliseconds;
 }
 
-/** What the ends of attempts are weighed with. */
+/** Dependencies of `AttemptOutcomeHandler`. */
 export interface AttemptOutcomeHandlerParts {
   readonly relay: Pick<RelayParts, 'clock' | 'peers' | 'recentRejections'>;
   readonly answer: CallerResponse;
@@ -38,15 +38,15 @@
   readonly history: AttemptHistory;
   readonly followed: FollowedRequest;
   readonly ends: TerminationDetector;
-  /** The time that the request had at its coming. */
+  /** Time limit of the request, from its arrival. */
   readonly timeoutMs: Milliseconds;
 }
 
-/** Decides after each attempt whether another follows, and answers the caller where none does. */
+/** Decides after each attempt whether another follows, and sends the response if none does. */
 export class AttemptOutcomeHandler {
   constructor(readonly parts: AttemptOutcomeHandlerParts) {}
 
-  /** Takes in the end of an attempt; true when the answer is over. */
+  /** Handles the outcome of an attempt; returns true if the response is finished. */
   async handle(end: AttemptOutcome, choice: Choice, abandonment: Abandonment): Promise<boolean> {
     if (end.kind === 'whole') return this.#handleResponse(end.head, end.body, choice);
     if (end.kind === 'cancelled') return this.#handleCancelled(choice, abandonment);
@@ -56,7 +56,8 @@
       return true;
     }
     this.suspect(choice.server, end.detail);
-    // Before a retry: the next server would end too, and its end would not count after this one.
+    // The check precedes the retry: if the next server terminates too, its termination counts only if this one is
+    // known.
     if (end.kind === 'broken') {
       await this.parts.ends.probe(choice.attemptId, choice.server, end.detail);
     }
@@ -64,7 +65,7 @@
     return this.#handleFailure(failure, choice, end.detail);
   }
 
-  /** Has all hosts avoid a server that failed. */
+  /** Reports a failed server to all hosts, which avoid it for a while. */
   suspect(server: BackendServer, why: string): void {
     const { telemetry, relay } = this.parts;
     const forMs = relay.peers.suspect(server.id, server.service);
@@ -80,9 +81,9 @@
     const { answer, ends, timeoutMs, finalResponse, history } = this.parts;
     history.onCancelled();
     if (abandonment.isRetried) return false;
-    // A server that has ended in silence is found by nothing else where its request may not be repeated.
+    // Nothing else detects a server that died without closing its connection if the request may not be retried.
     if (abandonment.silentMs > firstEventTimeoutMs(plan?.stream, timeoutMs)) {
-      void ends.probe(attemptId, server, 'silent to the end');
+      void ends.probe(attemptId, server, 'sent nothing until the attempt ended');
     }
     if (abandonment.failureReason !== undefined && !answer.isDisconnected)
       finalResponse.giveUp(abandonment.failureReason);
@@ -109,8 +110,8 @@
   }
 
   /**
-   * Another server has the address, so the one that was meant is gone: whoever chooses among the
-   * servers of its service is told, as its entry may stay listed for seconds.
+   * Another server has the address, so the intended one is gone. All hosts that choose among the servers of its
+   * service are notified, as its entry may stay listed for seconds.
    */
   #handleMisdirected(choice: Choice, detail: string): boolean {
     this.parts.relay.peers.broadcastServerGone(choice.server);
@@ -122,12 +123,19 @@
     recentRejections.record(id, clock.monotonicMs());
   }
 
-  /** Avoids the engine for want of which the chosen one could not serve; false where it is none but that one. */
+  /**
+   * Suspects the prefill engine whose fault made the chosen engine fail; returns false if `faultyEngine` names no
+   * prefill engine of the attempt.
+   */
   #suspectPrefillEngine(faultyEngine: string | undefined, choice: Choice): boolean {
     const prefillEngine = findPrefillEngine(choice, faultyEngine);
     if (!prefillEngine) return false;
-    this.suspect(prefillEngine, 'it failed a prompt that it helped to read');
-    void this.parts.ends.probe(choice.attemptId, prefillEngine, 'it read a part');
+    this.suspect(prefillEngine, 'failed to prefill its part of a prompt');
+    void this.parts.ends.probe(
+      choice.attemptId,
+      prefillEngine,
+      'prefilled a part of a failed prompt',
+    );
     return true;
   }
 
@@ -142,7 +150,7 @@
     return true;
   }
 
-  /** Counts and logs a failed attempt; true where another follows. */
+  /** Counts and logs a failed attempt; returns true if another follows. */
   #recordFailure(failure: AttemptFailure, { server }: Choice, detail: string): boolean {
     const again = this.parts.history.onFailed(server.id, failure);
     this.parts.telemetry.attemptFailed(server, failure, detail, again);
--- a/packages/relay/src/request/attempt-use.ts
+++ b/packages/relay/src/request/attempt-use.ts
@@ -3,12 +3,12 @@
 import { DEADLINE_SLACK_MS, toAttemptUse } from '../planning/planned-use.js';
 import type { Choice } from './choice.js';
 
-/** What a call of a plain service takes up: a place on its server. */
+/** The resources of a call to a plain service: one slot on its server. */
 function callUse(
   { attemptId, server }: Choice,
   host: string,
   placedAtMs: Milliseconds,
-  limitAtMs: Milliseconds,
+  deadlineAtMs: Milliseconds,
 ): AttemptUse {
   return {
     attemptId,
@@ -21,18 +21,21 @@
     gapAimMs: 0,
     isPrefilling: false,
     placedAtMs,
-    expiresAtMs: limitAtMs + DEADLINE_SLACK_MS,
+    expiresAtMs: deadlineAtMs + DEADLINE_SLACK_MS,
   };
 }
 
-/** What an attempt takes up that is placed on `host` at `placedAtMs`, until `limitAtMs` at the latest. */
+/**
+ * Returns the resources that an attempt uses, placed by `host` at `placedAtMs` and freed at `deadlineAtMs` at the
+ * latest.
+ */
 export function useOf(
   choice: Choice,
   host: string,
   placedAtMs: Milliseconds,
-  limitAtMs: Milliseconds,
+  deadlineAtMs: Milliseconds,
 ): AttemptUse {
   const { plan } = choice;
   if (plan) return toAttemptUse(plan.request, plan.stream, placedAtMs);
-  return callUse(choice, host, placedAtMs, limitAtMs);
+  return callUse(choice, host, placedAtMs, deadlineAtMs);
 }
--- a/packages/relay/src/request/caller-response.ts
+++ b/packages/relay/src/request/caller-response.ts
@@ -3,7 +3,7 @@
 import type { ServerResponse } from 'node:http';
 import type { ResponseHead, CallerHead, RelayWire } from '../ports.js';
 
-/** The answer to one caller: nothing, a whole answer, or a stream; never two. */
+/** The response to one caller: nothing, one complete response, or one event stream. */
 export class CallerResponse {
   #isDisconnected = false;
   #isFinished = false;
@@ -13,9 +13,9 @@
   constructor(
     readonly response: ServerResponse,
     readonly wire: RelayWire,
-    /** Undefined where the head could not be read. */
+    /** Undefined if the head of the request could not be parsed. */
     readonly caller: CallerHead | undefined,
-    /** Whether the connection is to end with this answer. */
+    /** Whether the connection is closed after this response. */
     readonly shouldClose: () => boolean,
   ) {
     response.once('close', () => {
@@ -29,12 +29,12 @@
     response.on('error', () => undefined);
   }
 
-  /** Whether the caller has left before the answer was over. */
+  /** Whether the caller disconnected before the response was finished. */
   get isDisconnected(): boolean {
     return this.#isDisconnected;
   }
 
-  /** Whether the head of an answer is out. */
+  /** Whether the head of a response was sent. */
   get hasStarted(): boolean {
     return this.response.headersSent;
   }
@@ -43,19 +43,19 @@
     this.#onDisconnect = callback;
   }
 
-  /** `callback` is called when the caller has taken what was written. */
+  /** Sets the callback for when the write buffer is empty again. */
   onDrain(callback: () => void): void {
     this.#onDrain = callback;
   }
 
-  /** Passes on a server's whole answer. */
+  /** Sends a server's complete response. */
   send(head: ResponseHead, body: Buffer): void {
     this.#isFinished = true;
     this.#writeHead(head.status, [...head.forwarded, 'Content-Length', String(body.length)]);
     this.response.end(body);
   }
 
-  /** Writes events; false where the caller should be given time to take them. */
+  /** Writes events; returns false if the write buffer is full. */
   writeEvents(head: ResponseHead, bytes: Buffer): boolean {
     if (!this.hasStarted) this.#writeHead(head.status, head.forwarded);
     return this.response.write(bytes);
@@ -67,7 +67,7 @@
     this.response.end();
   }
 
-  /** Ends a stream so that it does not look complete. */
+  /** Aborts a stream by closing the connection, so that it does not look complete. */
   abort(): void {
     this.#isFinished = true;
     this.response.destroy();
--- a/packages/relay/src/request/choice.ts
+++ b/packages/relay/src/request/choice.ts
@@ -7,66 +7,67 @@
 import type { AdmittedRequest } from './admit.js';
 import type { RelayParts } from './relay-parts.js';
 
-/** A plan and what it was asked for. */
+/** A plan for a stream, with the request that it answers. */
 export interface StreamPlan {
   readonly request: PlanRequest;
   readonly stream: PlannedStream;
-  /** The host that made it. */
+  /** The host that made the plan. */
   readonly planner: string;
 }
 
-/** A server that is to be tried, and how it was chosen. */
+/** The server that was chosen for an attempt, with its plan, reservation and permit. */
 export interface Choice {
-  /** Names the attempt. */
+  /** Identifies the attempt. */
   readonly attemptId: string;
   readonly server: BackendServer;
-  /** What was planned for and how; undefined for plain services. */
+  /** The plan; undefined for plain services. */
   readonly plan: StreamPlan | undefined;
-  /** Engines that read parts of the prompt, in the order of the plan. */
+  /** Engines that prefill parts of the prompt, in the order of the plan. */
   readonly readers: readonly BackendServer[];
-  /** Memory on other engines; undefined where none is needed. */
+  /** Reserved memory on other engines; undefined if none is needed. */
   readonly held: MemoryReservation | undefined;
-  /** Places that it was given of servers that name limits; undefined where none was asked for. */
+  /** Permits for rate-limited servers; undefined if none were requested. */
   readonly permit: SendPermit | undefined;
 }
 
-/** What a choice is made for. */
+/** The request that a server is chosen for, and its state. */
 export interface ChoiceInputs {
   readonly parts: RelayParts;
   readonly caller: CallerHead;
   readonly admitted: AdmittedRequest;
   readonly arrivedAtMs: Milliseconds;
   readonly deadlineAtMs: Milliseconds;
-  /** Since when the caller has heard nothing. */
+  /** When the caller was last sent something, or the request's arrival. */
   readonly callerSilentSinceMs: () => Milliseconds;
-  /** Servers that failed this request already. */
+  /** Ids of servers that failed this request. */
   readonly failedIds: ReadonlySet<string>;
-  /** Servers that were chosen and that the gate let nothing through to. */
+  /** Ids of servers that were chosen and then blocked by the send gate. */
   readonly blockedIds: ReadonlySet<string>;
-  /** Names what is asked, whatever try it is; costs a hash of the body. */
+  /** Returns the content id, which is the same for all tries of the request; computes a hash of the body. */
   readonly content: () => string;
-  /** Called when the engine no longer answers for which memory is held elsewhere. */
-  readonly onDecodeEngineLost: (writer: BackendServer) => void;
-  /** Whether there is nothing left to choose for. */
+  /** Called when the decode engine no longer answers status queries while memory is reserved on other engines. */
+  readonly onDecodeEngineLost: (engine: BackendServer) => void;
+  /** Whether the caller has disconnected or the deadline has passed. */
   readonly isFinished: () => boolean;
 }
 
 /**
- * `refused`: no server can take it, why, and when one may, where that is known. `over`: the caller has
- * left or the time is up.
+ * `refused`: no server can take the request; `why` tells the reason and `retryAfterMs`, if known, when one may.
+ * `over`: the caller has disconnected or the deadline has passed.
  */
 export type ChoiceOutcome =
   | { readonly kind: 'choice'; readonly choice: Choice }
   | { readonly kind: 'refused'; readonly why: string; readonly retryAfterMs?: Milliseconds }
   | { readonly kind: 'over' };
 
-/** `resting`: each server that is listed wants rest, the first for `nextMs` still. */
+/** `resting`: all listed servers are in a backoff, the first of which ends in `nextUsableInMs`. */
 export type ImmediateOutcome =
   ChoiceOutcome | { readonly kind: 'resting'; readonly nextUsableInMs: Milliseconds };
 
 /**
- * Servers that come last for a request: those that failed it or were held back, and for one that was turned away before those that turn
- * requests away lately, where there are others.
+ * Returns the ids of servers that are chosen last for a request: those that failed it or were blocked. Once it has
+ * failed, also those in a ramp-up after a backoff and those that recently rejected requests; if these are all servers,
+ * only those that failed it.
  */
 export function deprioritizedIds(inputs: ChoiceInputs): ReadonlySet<string> {
   const { parts, admitted, failedIds, blockedIds } = inputs;
@@ -79,7 +80,7 @@
   return usable.every(({ id }) => all.has(id)) ? failedIds : all;
 }
 
-/** The engines that read parts, with the memory that is held there. */
+/** Returns the prefill engines with the memory that is reserved on each. */
 export function prefillEnginesOf({ plan, readers, held }: Choice): readonly PrefillEngineAddress[] {
   const sharing = new Set(plan?.stream.shares.map(({ engineId }) => engineId));
   return readers.map(({ id, address, port }) => {
@@ -88,7 +89,10 @@
   });
 }
 
-/** The engine among the readers that `named` means, by id or `ADDRESS:PORT`. */
+/**
+ * Returns the prefill engine that `named` identifies by id or `ADDRESS:PORT`; undefined if it is none, or the decode
+ * engine.
+ */
 export function findPrefillEngine(
   { server, readers }: Choice,
   named: string | undefined,
--- a/packages/relay/src/request/choose-engines.ts
+++ b/packages/relay/src/request/choose-engines.ts
@@ -14,12 +14,15 @@
   StreamPlan,
 } from './choice.js';
 
-/** Of an aim, the part for which a caller is kept that no server may be sent; the rest is for its answer. */
+/**
+ * Share of a latency target for which a request waits while no server may be sent it; the rest is left for its
+ * response.
+ */
 export const MAX_WAIT_TARGET_SHARE = 0.5;
-/** Pause before a request is planned again whose plan could not be used. */
+/** Delay before another plan is requested if a plan could not be used. */
 const REPLAN_DELAY_MS: Milliseconds = 10;
 
-/** What a planner is asked for a request. */
+/** Returns the plan request for a caller's request. */
 export function toPlanRequest(inputs: ChoiceInputs, avoidedIds: Iterable<string>): PlanRequest {
   const { parts, caller, admitted, arrivedAtMs, callerSilentSinceMs, deadlineAtMs, failedIds } =
     inputs;
@@ -39,16 +42,16 @@
     callerSilentSinceMs: callerSilentSinceMs(),
     deadlineAtMs,
     isRepeated: failedIds.size > 0 || caller.lastEventId !== undefined,
-    // Planners of releases that know of no exclusion avoid them at least.
+    // Planners of releases without `excludedIds` at least avoid these servers.
     avoidedIds: [...avoidedIds, ...excludedIds],
     excludedIds,
     content: parts.gate.hasLimits ? inputs.content() : undefined,
-    // A stream that is taken up again is waited for from its last event on.
+    // For a resumed stream the wait counts from its last event.
     waitsForPermitUntilMs: callerSilentSinceMs() + admitted.route.aimMs * MAX_WAIT_TARGET_SHARE,
   };
 }
 
-/** The servers of a plan, or the ids of those that may take no work by what this host knows. */
+/** Returns the servers of a plan, and the ids of those that this host may send no work. */
 function resolveServers(
   { parts, admitted }: ChoiceInputs,
   { writerId, readerIds }: PlannedStream,
@@ -64,7 +67,7 @@
   return { servers, unusableIds };
 }
 
-/** Holds memory on the engines that share the prompt; undefined where one had none. */
+/** Reserves memory on the engines that share the prompt; returns undefined if one of them has too little. */
 function reserveShares(
   { parts, caller, onDecodeEngineLost }: ChoiceInputs,
   decodeEngine: BackendServer,
@@ -82,7 +85,7 @@
   });
 }
 
-/** The choice that a plan amounts to; undefined where the memory that it needs was not to be had. */
+/** Turns a plan into a choice; returns undefined if the memory that it needs could not be reserved. */
 async function choiceFromPlan(
   inputs: ChoiceInputs,
   plan: StreamPlan,
@@ -98,23 +101,26 @@
   return held && { ...choice, held };
 }
 
-/** A long prompt that gives way to others may find room once their reads, which take up to an aim, end. */
+/**
+ * Retry delay, in latency targets, of a long prompt that yields to others: it may find room when their prefills,
+ * which take up to one target, have ended.
+ */
 const YIELDED_RETRY_TARGET_SHARE = 0.5;
 
-/** The refusal of a planner, for the caller. */
+/** Turns a planner's refusal into the refusal for the caller. */
 export function refusalOf(
   { rule, retryAfterMs, detail }: Extract<PlacementOutcome, { kind: 'refuse' }>,
   { aimMs }: Route,
 ): ChoiceOutcome {
   if (rule === 'limited') {
-    const why = `all servers of the service name limits: ${detail ?? 'none takes more now'}`;
+    const why = `all servers of the service name limits: ${detail ?? 'none accepts more now'}`;
     return { kind: 'refused', why, ...(retryAfterMs === undefined ? {} : { retryAfterMs }) };
   }
   if (rule !== 'engines_needed_by_timely') return { kind: 'refused', why: rule };
   return { kind: 'refused', why: rule, retryAfterMs: aimMs * YIELDED_RETRY_TARGET_SHARE };
 }
 
-/** Has a stream planned until its plan can be used, and holds the memory that the plan needs. */
+/** Requests plans for a stream until one can be used, and reserves the memory that it needs. */
 export async function chooseEngines(inputs: ChoiceInputs): Promise<ImmediateOutcome> {
   const { parts, admitted, isFinished } = inputs;
   const avoidedIds = new Set(deprioritizedIds(inputs));
--- a/packages/relay/src/request/choose-server.ts
+++ b/packages/relay/src/request/choose-server.ts
@@ -14,14 +14,14 @@
   MAX_WAIT_TARGET_SHARE,
 } from './choose-engines.js';
 
-/** A list that is longer in coming is not foreseen, so the request is refused. */
+/** Longest wait for the first server list; a request is refused if the list takes longer. */
 const FIRST_LIST_TIMEOUT_MS: Milliseconds = 250;
-/** Pause between looks whether the list has come. */
+/** Period of the checks for the first server list. */
 const POLL_PERIOD_MS: Milliseconds = 5;
-/** Asks for a place of whichever server of the service has one. */
+/** Requests a permit for any server of the service. */
 const ANY_SERVER: PermitRequest = { serverIds: [], isSent: false };
 
-/** Picks one of `usable` servers of a plain service; those that failed this request come last. */
+/** Picks one of the `usable` servers of a plain service, with the servers of `deprioritizedIds` last. */
 function pickServer(
   inputs: ChoiceInputs,
   usable: readonly BackendServer[],
@@ -48,8 +48,10 @@
   const usable = gate.usableServers(service);
   const unlimited = usable.filter((server) => !gate.isLimited(server));
   if (unlimited.length === 0 && usable.length > 0) return chooseLimitedServer(inputs);
-  const asked = usable.filter((server) => !gate.isLimited(server) || permits.mayHavePermit(server));
-  const server = pickServer(inputs, asked);
+  const candidates = usable.filter(
+    (server) => !gate.isLimited(server) || permits.mayHavePermit(server),
+  );
+  const server = pickServer(inputs, candidates);
   if (!server) return noUsableServer(gate.nextUsableInMs(service));
   if (!gate.isLimited(server)) return plainChoice(server, undefined);
   const permit = await permits.tryAcquire(server);
@@ -58,7 +60,10 @@
   return other ? plainChoice(other, undefined) : noUsableServer(gate.nextUsableInMs(service));
 }
 
-/** All servers of a plain service name limits: whoever gives out their places says which one may be sent it, or when. */
+/**
+ * Chooses a server of a plain service whose servers are all rate-limited: the host that grants permits names one, or
+ * when one is available.
+ */
 async function chooseLimitedServer(inputs: ChoiceInputs): Promise<ImmediateOutcome> {
   const { admitted, isFinished, parts } = inputs;
   const { clock, gate, placement } = parts;
@@ -74,14 +79,18 @@
     : noUsableServer(gate.nextUsableInMs(admitted.service));
 }
 
-/** What comes of a service of which no server may be sent anything; `nextMs`: until one may. */
+/**
+ * Outcome for a service without a usable server; `nextUsableInMs`: until one is usable, undefined if none is listed.
+ */
 function noUsableServer(nextUsableInMs: Milliseconds | undefined): ImmediateOutcome {
   if (nextUsableInMs === undefined)
     return { kind: 'refused', why: 'no server of the service is listed' };
   return { kind: 'resting', nextUsableInMs };
 }
 
-/** A host that has just started may know the configuration some 20 ms before the servers. */
+/**
+ * Waits for the first server list. A host that has just started may receive the configuration 20 ms before the list.
+ */
 async function waitForFirstList({ parts, isFinished }: ChoiceInputs): Promise<void> {
   const untilMs = parts.clock.monotonicMs() + FIRST_LIST_TIMEOUT_MS;
   while (!parts.servers.isKnown && !isFinished() && parts.clock.monotonicMs() < untilMs) {
@@ -97,7 +106,10 @@
   return chooseEngines(inputs);
 }
 
-/** Chooses a server, after a wait if need be; a caller doesn't wait for a rest that takes much of its aim. */
+/**
+ * Chooses a server, after a wait if all are in a backoff. Refuses instead if the wait would use up too much of the
+ * latency target.
+ */
 export async function chooseServer(inputs: ChoiceInputs): Promise<ChoiceOutcome> {
   const { parts, admitted, arrivedAtMs, isFinished } = inputs;
   if (!parts.servers.isKnown) await waitForFirstList(inputs);
--- a/packages/relay/src/request/final-response.ts
+++ b/packages/relay/src/request/final-response.ts
@@ -6,39 +6,39 @@
 import type { CallerResponse } from './caller-response.js';
 import type { RequestTelemetry } from './request-telemetry.js';
 
-/** When to come back after a refusal for want of a server. */
+/** Retry delay after a refusal for want of a server, if no better one is known. */
 const DEFAULT_RETRY_DELAY_MS: Milliseconds = 250;
 
-/** What the one answer of a request is made from. */
+/** Dependencies of `FinalResponse`. */
 export interface FinalResponseParts {
   readonly answer: CallerResponse;
   readonly telemetry: RequestTelemetry;
   readonly history: AttemptHistory;
   readonly events: ResponseEvents;
-  /** Whether the request has had all its time. */
+  /** Whether the time limit of the request has passed. */
   readonly hasTimedOut: () => boolean;
-  /** When a caller may come back that is refused now; undefined where nothing is known of that. */
+  /** Returns the retry delay of a caller that is refused now; undefined if it is not known. */
   readonly retryDelayMs: () => Milliseconds | undefined;
 }
 
-/** The one answer that a request gets in the end, and its line in the log. */
+/** Ends the one response of a request and records its outcome. */
 export class FinalResponse {
   constructor(readonly parts: FinalResponseParts) {}
 
-  /** The caller has left, or the time is up. */
+  /** Ends a request whose caller has disconnected or whose deadline has passed. */
   finishUnserved(): void {
     const { answer, history } = this.parts;
     if (answer.isDisconnected)
       this.#end(history.mayHaveRun ? 'cancelled_running' : 'cancelled_waiting');
-    else this.giveUp('the time limit passed');
+    else this.giveUp('the time limit has passed');
   }
 
-  /** Ends a stream in order. */
+  /** Ends an event stream in order. */
   finishEvents(head: ResponseHead): void {
     this.#end('ok', this.parts.events.end(head));
   }
 
-  /** Passes on a whole answer of a server, of whatever status; a stream that has begun can't end with it. */
+  /** Sends a server's complete response of any status; aborts instead if an event stream has already begun. */
   finishResponse(head: ResponseHead, body: Buffer, code: ResultName): void {
     const { answer } = this.parts;
     if (answer.hasStarted) answer.abort();
@@ -46,7 +46,7 @@
     this.#end(code, head.status);
   }
 
-  /** Gives the final answer of a request that won't be served. */
+  /** Refuses a request that won't be served; aborts the response if it has begun. */
   giveUp(
     detail: string,
     retryAfterMs = this.parts.retryDelayMs() ?? DEFAULT_RETRY_DELAY_MS,
--- a/packages/relay/src/request/prefill-monitor.ts
+++ b/packages/relay/src/request/prefill-monitor.ts
@@ -2,33 +2,36 @@
 import type { BackendServer } from '@poppypond/fleet';
 
 /**
- * Pause between questions to the engines that read a long prompt. An engine that depends on a dead
- * one stands still for 1.5 s before it says so, which is more than a third of the aim of the longest
- * prompts. With 400 ms a day of long prompts had 1,550 questions more, each on a connection of its
- * own, which cost 0.003 of the worth of a day.
+ * Period of the status queries to the engines that prefill a long prompt. An engine that depends on a dead one stalls
+ * for 1.5 s before it reports that, which is more than a third of the latency target of the longest prompts. A period
+ * of 400 ms sends 1,550 queries more in a day of long prompts, each on a connection of its own, which costs 0.003 of
+ * the value of a day.
  */
 const QUERY_PERIOD_MS: Milliseconds = 800;
-/** An engine counts as dead when it gives no answer so many times, one right after the other. */
+/** An engine counts as dead after this number of unanswered queries in a row, sent one right after the other. */
 const MAX_UNANSWERED_QUERIES = 2;
 
-/** What the watch needs. */
+/** Dependencies of `PrefillMonitor`. */
 export interface PrefillMonitorParts {
   readonly clock: Clock;
-  /** Whether a server answers a question for its state. */
+  /** Whether a server answers a status query. */
   readonly isResponsive: (server: BackendServer) => Promise<boolean>;
-  /** An engine that reads a part of the prompt is dead; called once at most for one attempt. */
+  /** Called at most once for each attempt, when an engine that prefills a part of the prompt is dead. */
   readonly onUnresponsive: (server: BackendServer) => void;
 }
 
-/** Asks the engines that read one long prompt together whether they live, until its first event. */
+/** Sends status queries to the engines that prefill one long prompt together, until its first event. */
 export class PrefillMonitor {
-  /** Changes with each attempt that is watched, so that late answers for another count for nothing. */
+  /** Replaced for each monitored attempt, so that late answers for an earlier attempt are ignored. */
   #monitored: readonly BackendServer[] = [];
   #cancel: CancelTimer = () => undefined;
 
   constructor(readonly parts: PrefillMonitorParts) {}
 
-  /** Begins with an attempt that starts now, in place of any other. Short reads end unasked. */
+  /**
+   * Starts monitoring an attempt that begins now, in place of any other. A prefill shorter than the period is never
+   * queried.
+   */
   begin(engines: readonly BackendServer[]): void {
     this.end();
     this.#monitored = engines;
@@ -37,7 +40,7 @@
     });
   }
 
-  /** Ends; nothing where nothing is watched. */
+  /** Stops monitoring; does nothing if nothing is monitored. */
   end(): void {
     this.#cancel();
     this.#monitored = [];
--- a/packages/relay/src/request/relay-parts.ts
+++ b/packages/relay/src/request/relay-parts.ts
@@ -13,7 +13,7 @@
 import type { KeyTrust } from '../store/key-trust.js';
 import type { ServerList } from '../store/server-list.js';
 
-/** What every request of a relay shares. */
+/** Dependencies that all requests of a relay share. */
 export interface RelayParts {
   readonly clock: Clock;
   readonly host: string;
--- a/packages/relay/src/request/request-execution.ts
+++ b/packages/relay/src/request/request-execution.ts
@@ -25,7 +25,7 @@
 import { RequestTelemetry } from './request-telemetry.js';
 import { FinalResponse } from './final-response.js';
 
-/** What is known while one attempt runs. */
+/** State of the current attempt. */
 interface RunningAttempt {
   readonly id: string;
   readonly choice: Choice;
@@ -34,10 +34,10 @@
   hasEvents: boolean;
 }
 
-/** Pause before another server is chosen where the gate let none of the chosen ones through. */
+/** Delay before another server is chosen after the send gate blocked a choice. */
 const RECHOOSE_DELAY_MS: Milliseconds = 10;
 
-/** The life of one admitted request: attempts, their order, and the one answer. */
+/** Executes one admitted request: chooses servers, runs attempts and sends one response. */
 export class RequestExecution {
   readonly #route: Route;
   readonly #deadlineAtMs: Milliseconds;
@@ -45,20 +45,20 @@
   readonly #history: AttemptHistory;
   readonly #events: ResponseEvents;
   readonly #monitor: AttemptMonitor;
-  /** What is known of servers that ended under it, and how that is found out. */
+  /** Quarantine state of the request; `#terminations` detects servers that terminate while running it. */
   readonly #followed: FollowedRequest;
   readonly #terminations: TerminationDetector;
   readonly #finalResponse: FinalResponse;
   readonly #outcomeHandler: AttemptOutcomeHandler;
-  /** The last event that the caller was sent, or else the request's coming. */
+  /** When the caller was sent its last event; before the first, when the request arrived. */
   #lastEventAtMs: Milliseconds;
-  /** When the last attempt began. */
+  /** When the last attempt started. */
   #attemptAtMs: Milliseconds = 0;
   #current: RunningAttempt | undefined;
   readonly #blockedIds = new Set<string>();
-  /** Whether the current attempt was given up and another follows. */
+  /** Whether the current attempt was abandoned and another follows. */
   #isRetried = false;
-  /** Why the request ends with the current attempt, which was given up; undefined where it doesn't. */
+  /** Why the request fails with the current attempt, which was abandoned; undefined if it does not. */
   #failureReason: string | undefined;
   #hasTimedOut = false;
 
@@ -121,7 +121,7 @@
     });
   }
 
-  /** Serves the request; resolves when its answer is over. */
+  /** Serves the request; resolves when its response is finished. */
   async run(): Promise<void> {
     const { clock, budget } = this.parts;
     budget.onRequest(this.admitted.service);
@@ -157,7 +157,7 @@
       content: () => this.#followed.content,
       isFinished: () => this.#isFinished(),
       onDecodeEngineLost: (engine: BackendServer) => {
-        this.#abandonFor(engine, 'no answer to a question for its state');
+        this.#abandonFor(engine, 'no answer to a status query');
       },
     };
     for (;;) {
@@ -166,7 +166,7 @@
       if (outcome.kind === 'over') return this.#finalResponse.finishUnserved();
       if (outcome.kind === 'refused')
         return this.#finalResponse.giveUp(outcome.why, outcome.retryAfterMs);
-      // Word of servers that ended may have come while it waited for a place.
+      // The request may have been quarantined while it waited for a slot.
       if (this.#refuseQuarantined()) return this.#releaseChoice(outcome.choice);
       if (this.#isBlocked(outcome.choice)) {
         await delay(parts.clock, RECHOOSE_DELAY_MS);
@@ -177,7 +177,7 @@
     }
   }
 
-  /** Whether a server of the choice, which is left then, has said meanwhile that it wants nothing. */
+  /** Whether the send gate blocks the choice because of a notice received meanwhile; the choice is then released. */
   #isBlocked(choice: Choice): boolean {
     const block = this.parts.gate.admitAttempt(choice);
     if (!block) return false;
@@ -187,28 +187,32 @@
     return true;
   }
 
-  /** When a caller may come back where no server of the service may be sent anything now. */
+  /** Retry delay if no server of the service may be sent anything now; undefined if one may, or none is listed. */
   #retryDelayMs(): Milliseconds | undefined {
     const { gate } = this.parts;
-    const nextMs = gate.nextUsableInMs(this.admitted.service);
-    return nextMs ? gate.callerRetryDelayMs(nextMs) : undefined;
+    const nextUsableInMs = gate.nextUsableInMs(this.admitted.service);
+    return nextUsableInMs ? gate.callerRetryDelayMs(nextUsableInMs) : undefined;
   }
 
-  /** Gives the place up that a choice took, unused. */
+  /** Releases the slot and the memory of a choice that is not used. */
   #releaseChoice({ attemptId, held }: Choice): void {
     this.parts.peers.end(attemptId, this.#engineService);
     void held?.release();
   }
 
   /**
-   * Answers at once a request under which servers have ended, whoever sent it and however often: it would end
-   * the next one too, and with it all that runs there. True where it did.
+   * Refuses a quarantined request, whoever sent it and however often: it would terminate the next server too, and
+   * with it all requests that run there. Returns true if the request was refused.
    */
   #refuseQuarantined(): boolean {
     const held = this.#followed.checkHold();
     if (!held) return false;
     const ended = describeTerminations(held.entry, this.parts.clock.monotonicMs());
-    this.#finalResponse.giveUp(`servers ended under it: ${ended}`, held.forMs, 'quarantined');
+    this.#finalResponse.giveUp(
+      `servers terminated while running the request: ${ended}`,
+      held.forMs,
+      'quarantined',
+    );
     return true;
   }
 
@@ -241,7 +245,7 @@
     return end;
   }
 
-  /** Takes in the end of an attempt; true when the answer is over. */
+  /** Handles the outcome of an attempt; returns true if the response is finished. */
   #handleOutcome(end: AttemptOutcome, choice: Choice): Promise<boolean> {
     const silentSinceMs = Math.max(this.#attemptAtMs, this.#lastEventAtMs);
     const silentMs = this.parts.clock.monotonicMs() - silentSinceMs;
@@ -275,9 +279,9 @@
       {
         clock,
         parseResponseHead: (message) => wire.parseResponseHead(message),
-        onHead: ({ word, isNotExecuted: isNotRun }) => {
+        onHead: ({ word, isNotExecuted }) => {
           this.parts.notices.recordNotice(server, word, askedAtMs);
-          if (word.backoffMs === undefined && !isNotRun)
+          if (word.backoffMs === undefined && !isNotExecuted)
             this.parts.gate.onAnswered(server, choice.attemptId);
         },
         onFrames: (frames, head) => this.#onFrames(frames, head),
@@ -291,12 +295,12 @@
     peers.begin(use, this.#engineService);
   }
 
-  /** The service by whose planners attempts are known; undefined for plain services. */
+  /** The service whose planners are notified of attempts; undefined for plain services. */
   get #engineService(): string | undefined {
     return this.admitted.figures && this.admitted.service;
   }
 
-  /** Gives the current attempt up for a fault of `server` and tries others, if one more may be tried. */
+  /** Abandons the current attempt for a fault of `server` and tries another server, if a retry is allowed. */
   #abandonFor(server: BackendServer, why: string): void {
     const running = this.#current;
     if (!running || !this.#history.tryAbandon(server.id)) return;
@@ -307,9 +311,8 @@
   }
 
   /**
-   * A server that the current attempt depends on has started again, and what ran there is gone, also
-   * where its connection is silent. A request that may be repeated goes elsewhere at once, another
-   * one ends: its caller is told that the outcome is not known.
+   * Handles the restart of a server that the current attempt depends on: its work is lost, even if its connection
+   * shows no error. A request that may be repeated is retried at once; any other fails with an unknown outcome.
    */
   #onServerRestarted(server: BackendServer): void {
     const running = this.#current;
@@ -320,7 +323,7 @@
     this.#telemetry.attemptLost(running.id, server);
     this.#terminations.onRestarted(running.id, server);
     if (this.#history.tryAbandon(choice.server.id)) this.#isRetried = true;
-    else this.#failureReason = 'the server that ran it has started again';
+    else this.#failureReason = 'the server that ran the request has restarted';
     running.attempt.cancel();
   }
 
--- a/packages/relay/src/request/request-handler.ts
+++ b/packages/relay/src/request/request-handler.ts
@@ -7,7 +7,7 @@
 import { RequestExecution } from './request-execution.js';
 import { StartupGrace } from './startup-grace.js';
 
-/** Admits requests or refuses them, and counts those that are being served. */
+/** Admits or refuses requests, executes admitted ones and counts the open ones. */
 export class RequestHandler {
   #openCount = 0;
   readonly #startupGrace: StartupGrace;
@@ -19,18 +19,18 @@
     });
   }
 
-  /** Requests that were admitted and whose answer is not over. */
+  /** Admitted requests whose response is not finished. */
   get openCount(): number {
     return this.#openCount;
   }
 
-  /** Serves one request; resolves when its answer is over. */
+  /** Serves one request; resolves when its response is finished. */
   async serve({ body, answer, arrivedAtMs }: ReceivedRequest): Promise<void> {
     const { parts } = this;
     parts.pauseDetector.check();
     const { caller } = answer;
     if (!caller) {
-      answer.refuse(fault('bad_field', 'the head lacks the identifier of the request'));
+      answer.refuse(fault('bad_field', 'the request head has no request id'));
       return;
     }
     const admitted = await this.#startupGrace.waitForAdmission(
--- a/packages/relay/src/request/request-telemetry.ts
+++ b/packages/relay/src/request/request-telemetry.ts
@@ -8,10 +8,10 @@
 import type { StreamPlan } from './choice.js';
 import type { RelayParts } from './relay-parts.js';
 
-/** How an answer ended, for its log line. */
+/** How a response ended, for the log. */
 export interface ResponseSummary {
   readonly code: ResultName;
-  /** The server's status; undefined where the answer is the relay's own. */
+  /** HTTP status of the server's response; undefined if the response is the relay's own. */
   readonly status: number | undefined;
   readonly why: string | undefined;
   readonly attemptsSent: number;
@@ -19,7 +19,7 @@
   readonly lastEventId: number | undefined;
 }
 
-/** A refused retry and what it was weighed by. */
+/** A retry that was refused, and what the decision was based on. */
 export interface RefusedRetry {
   readonly failure: AttemptFailure;
   readonly decision: RetryDecision;
@@ -27,10 +27,10 @@
   readonly leftMs: Milliseconds;
 }
 
-/** Writes the decisions about one request to the log and counts them. */
+/** Logs the decisions about one request and records its metrics. */
 export class RequestTelemetry {
   readonly #size: string;
-  /** When the first event came, since the request did; undefined before it. */
+  /** Time from the request's arrival to its first event; undefined before that event. */
   #firstEventMs: Milliseconds | undefined;
   #lastEventAtMs: Milliseconds | undefined;
   #longestGapMs: Milliseconds = 0;
@@ -97,7 +97,7 @@
     });
   }
 
-  /** Events of the answer came, from whichever attempt. */
+  /** Records that events of the response arrived, from any attempt. */
   events(): void {
     const nowMs = this.parts.clock.monotonicMs();
     const gapMs = this.#lastEventAtMs === undefined ? undefined : nowMs - this.#lastEventAtMs;
@@ -117,7 +117,7 @@
     this.parts.log.warn('attempt_failed', { request, server: server.id, failure, why, again });
   }
 
-  /** A server that was chosen has said meanwhile that it wants nothing. */
+  /** Records that the send gate blocked a chosen server. */
   sendBlocked(server: string, why: BlockReason): void {
     const { log, measures, servers } = this.parts;
     measures.count('poppypond_sends_held_back_total', { why });
@@ -129,7 +129,7 @@
     });
   }
 
-  /** What was found of a server after an attempt that had no whole answer. */
+  /** Records the check of a server after an attempt without a complete response. */
   serverProbed({ server, content, found, why, ends }: ProbedServer): void {
     const request = this.caller.requestId;
     const { workspace } = this.admitted;
@@ -138,14 +138,14 @@
     this.parts.log.warn('server_asked', line);
   }
 
-  /** What runs for an attempt is gone, as a server that it depends on has started again. */
+  /** Records that an attempt lost its work because a server that it depends on has restarted. */
   attemptLost(attempt: string, server: BackendServer): void {
     const request = this.caller.requestId;
     this.parts.log.warn('attempt_lost', {
       request,
       attempt,
       server: server.id,
-      why: 'the server has started again',
+      why: 'the server has restarted',
       after_ms: Math.round(this.#sinceArrivalMs()),
       list_age_ms: Math.round(this.parts.servers.freshness.ageMs()),
     });
--- a/packages/relay/src/request/response-events.ts
+++ b/packages/relay/src/request/response-events.ts
@@ -2,13 +2,13 @@
 import type { ResponseHead } from '../ports.js';
 import type { CallerResponse } from './caller-response.js';
 
-/** The events of one answer, from whichever attempts they come: each goes out once, in order. */
+/** The events of one response, from all its attempts: sends each event to the caller once, in order. */
 export class ResponseEvents {
   #lastId: number | undefined;
-  /** The head under which the events go out, also those of later attempts. */
+  /** Head of the response, taken from the first attempt that sends events. */
   #head: ResponseHead | undefined;
 
-  /** `lastId`: the last event that the caller has already; undefined for none. */
+  /** `lastId`: id of the last event that the caller already has; undefined if it has none. */
   constructor(
     readonly answer: CallerResponse,
     lastId: number | undefined,
@@ -16,12 +16,12 @@
     this.#lastId = lastId;
   }
 
-  /** The last event that the caller has or was sent; undefined for none. */
+  /** Id of the last event that the caller has or was sent; undefined if there is none. */
   get lastId(): number | undefined {
     return this.#lastId;
   }
 
-  /** Passes on those of `frames` that are new; false where the caller must first take in more. */
+  /** Sends the new events among `frames`; returns false if the caller's connection is congested. */
   write(frames: readonly EventFrame[], head: ResponseHead): boolean {
     this.#head ??= head;
     const newFrames = frames.filter((frame) => this.#isNext(frame));
@@ -29,7 +29,10 @@
     return this.answer.writeEvents(this.#head, Buffer.concat(newFrames.map(({ bytes }) => bytes)));
   }
 
-  /** Ends the answer; its status. A stream taken up after its last event has only `head`. */
+  /**
+   * Ends the response and returns its status. `head` is used if no event was sent, as in a stream resumed after its
+   * last event.
+   */
   end(head: ResponseHead): number {
     const sentHead = this.#head ?? head;
     this.answer.endEvents(sentHead);
--- a/packages/relay/src/request/silence-monitor.ts
+++ b/packages/relay/src/request/silence-monitor.ts
@@ -4,20 +4,20 @@
 import type { Choice } from './choice.js';
 import { busyTimeoutMs, firstEventTimeoutMs, stallTimeoutMs } from './silence-timeouts.js';
 
-/** What the watch needs. */
+/** Dependencies of `SilenceMonitor`. */
 export interface SilenceMonitorParts {
   readonly clock: Clock;
   readonly route: Route;
-  /** Whether a server answers a question for its state. */
+  /** Whether a server answers a status query. */
   readonly isResponsive: (server: BackendServer) => Promise<boolean>;
-  /** The attempt that is watched is to be given up, as this server is silent. */
+  /** Called when the monitored attempt is to be abandoned because this server is silent. */
   readonly onSilent: (server: BackendServer) => void;
 }
 
-/** Pause before a silent engine that lives is looked after again. */
+/** Delay before a silent engine that answered a status query is checked again. */
 const BUSY_RECHECK_MS: Milliseconds = 500;
 
-/** Looks after the server of one attempt at a time, and says when it has been silent for too long. */
+/** Monitors the server of one attempt at a time and reports when it has been silent for too long. */
 export class SilenceMonitor {
   #monitored: Choice | undefined;
   #lastEventAtMs: Milliseconds = 0;
@@ -25,20 +25,20 @@
 
   constructor(readonly parts: SilenceMonitorParts) {}
 
-  /** Begins with an attempt that starts now, in place of any other. */
+  /** Starts monitoring an attempt that begins now, in place of any other. */
   begin(choice: Choice, timeLeftMs: Milliseconds): void {
     this.#monitored = choice;
     this.#lastEventAtMs = this.parts.clock.monotonicMs();
     this.#checkAfter(firstEventTimeoutMs(choice.plan?.stream, timeLeftMs));
   }
 
-  /** The server has sent events. */
+  /** Records that the server has sent events. */
   onEvents(): void {
     this.#lastEventAtMs = this.parts.clock.monotonicMs();
     this.#checkAfter(stallTimeoutMs(this.parts.route.gapAimMs));
   }
 
-  /** Ends; nothing where nothing is watched. */
+  /** Stops monitoring; does nothing if nothing is monitored. */
   end(): void {
     this.#monitored = undefined;
     this.#cancel();
@@ -51,7 +51,10 @@
     });
   }
 
-  /** An engine that answers a question for its state is only busy; reading anew would not help. */
+  /**
+   * Checks a silent server. An engine that answers a status query is only busy, and a new prefill elsewhere would not
+   * help.
+   */
   async #onSilence(): Promise<void> {
     const silent = this.#monitored;
     if (!silent) return;
--- a/packages/relay/src/request/silence-timeouts.test.ts
+++ b/packages/relay/src/request/silence-timeouts.test.ts
@@ -16,7 +16,7 @@
   priority: 1,
   isAuthExempt: false,
 } as const;
-/** What a caller of `ROUTE` waits in silence: four aims. */
+/** Idle timeout of a caller of `ROUTE`: four times its latency target. */
 const CALLER_TIMEOUT_MS = 12_000;
 
 function streamOf(expectedFirstMs: number): PlannedStream {
@@ -33,8 +33,8 @@
   };
 }
 
-describe('busyPatienceMs', () => {
-  it('leaves time for another engine to read the prompt before the caller leaves', () => {
+describe('busyTimeoutMs', () => {
+  it('leaves time for another engine to prefill the prompt before the caller disconnects', () => {
     for (const expectedMs of [100, 1000, 1900, 4000]) {
       const stream = streamOf(expectedMs);
       const timeoutMs = busyTimeoutMs(ROUTE, stream);
@@ -43,7 +43,7 @@
     }
   });
 
-  it('stays with an engine where no other could be in time', () => {
+  it('exceeds the idle timeout of the caller if no other engine could respond in time', () => {
     expect(busyTimeoutMs(ROUTE, streamOf(6000))).toBeGreaterThan(CALLER_TIMEOUT_MS);
   });
 });
--- a/packages/relay/src/request/silence-timeouts.ts
+++ b/packages/relay/src/request/silence-timeouts.ts
@@ -3,22 +3,25 @@
 import type { Route } from '@poppypond/routing';
 import type { PlannedStream } from '../planning/plan-request.js';
 
-/** Silence beyond the expected first event after which an engine is asked whether it lives. */
+/** Added to the expected time of the first event: silence after which an engine is sent a status query. */
 const FIRST_EVENT_SLACK_MS: Milliseconds = 300;
-/** Long reads wait behind others that were not foreseen. */
+/** Factor on the expected time: long prefills queue behind others that the plan did not expect. */
 const FIRST_EVENT_FACTOR = 1.5;
-/** Silence between events after which an engine is asked whether it lives. */
+/** Shortest silence between events after which an engine is sent a status query. */
 const MIN_STALL_TIMEOUT_MS: Milliseconds = 600;
-/** The same, as a multiple of the pause that the route aims at. */
+/** The same silence as a multiple of the route's gap target. */
 const STALL_GAP_FACTOR = 2;
-/** Part of the silence after which its caller leaves, after which another engine is tried though this one lives. */
+/**
+ * Share of the caller's idle timeout after which another engine is tried although this one responds to status
+ * queries.
+ */
 const BUSY_TIMEOUT_SHARE = 0.65;
-/** Added to that for each millisecond in which the first event was expected. */
+/** Added to that time for each millisecond of the expected time of the first event. */
 const BUSY_EXPECTED_FACTOR = 2;
-/** Share of the time limit after which a plain call that may be repeated is tried elsewhere. */
+/** Share of the time limit after which a plain call that may be repeated is tried on another server. */
 const CALL_TIMEOUT_SHARE = 0.45;
 
-/** Silence after which a server that has sent nothing yet is looked after. */
+/** Returns the silence after which a server that has sent no event yet is checked. */
 export function firstEventTimeoutMs(
   stream: PlannedStream | undefined,
   timeLeftMs: Milliseconds,
@@ -27,14 +30,14 @@
   return stream.expectedFirstMs * FIRST_EVENT_FACTOR + FIRST_EVENT_SLACK_MS;
 }
 
-/** Silence after which an engine that has sent events is looked after. */
+/** Returns the silence after which an engine that has sent events is checked. */
 export function stallTimeoutMs(gapAimMs: Milliseconds): Milliseconds {
   return Math.max(MIN_STALL_TIMEOUT_MS, gapAimMs * STALL_GAP_FACTOR);
 }
 
 /**
- * Silence after which an engine is given up even if it lives. Where another engine could still send
- * a first event before the caller leaves, it is no longer than leaves time for that.
+ * Returns the silence after which an engine is abandoned even if it responds to status queries. If another engine
+ * could still send a first event before the caller disconnects, it is short enough to leave time for that.
  */
 export function busyTimeoutMs({ aimMs, gapAimMs }: Route, stream: PlannedStream): Milliseconds {
   const { expectedFirstMs } = stream;
--- a/packages/relay/src/request/startup-grace.test.ts
+++ b/packages/relay/src/request/startup-grace.test.ts
@@ -9,7 +9,7 @@
   return Result.err(fault(code, 'why'));
 }
 
-/** A host that knows what holds from `knownAtMs` on, and callers that come every 20 ms from its start. */
+/** Simulates a host that has its configuration from `knownAtMs` on, with a request every 20 ms from its start. */
 async function simulateStart(knownAtMs: number, forMs: number) {
   const clock = new ManualClock();
   const startedAtMs = clock.monotonicMs();
@@ -30,46 +30,46 @@
   return ended;
 }
 
-describe('StartHold', () => {
-  // Before, all twelve that came until the host knew what holds were refused.
-  it('lets all in that come after a start and before the host is told what holds', async () => {
+describe('StartupGrace', () => {
+  // Guards against refusing the twelve requests that arrive before the host has its configuration.
+  it('admits all requests that arrive after a start and before the host has its configuration', async () => {
     const ended = await simulateStart(240, 600);
     expect(ended).toHaveLength(30);
     expect(ended.every(({ isServed }) => isServed)).toBe(true);
     expect(Math.max(...ended.map(({ waitedMs }) => waitedMs))).toBeLessThanOrEqual(250);
   });
 
-  it('refuses at once where nothing is told in time, and from then on without a wait', async () => {
+  it('refuses requests after the grace period without a configuration, and later ones without a wait', async () => {
     const ended = await simulateStart(10_000, 1000);
     expect(ended.every(({ isServed }) => !isServed)).toBe(true);
     expect(ended.slice(-20).every(({ waitedMs }) => waitedMs === 0)).toBe(true);
     expect(Math.max(...ended.map(({ waitedMs }) => waitedMs))).toBeLessThanOrEqual(510);
   });
 
-  it('lets those in that come just after a pause and before the host is told what holds anew', async () => {
+  it('admits requests that arrive just after a pause and before the configuration is refreshed', async () => {
     const clock = new ManualClock();
-    const hold = new StartupGrace(clock);
+    const grace = new StartupGrace(clock);
     await clock.advance(60_000);
     let isKnown = false;
     const admit = () => (isKnown ? Result.ok<string, Fault>('in') : refused('not_ready'));
     const isDisconnected = () => false;
-    expect((await hold.waitForAdmission(admit, isDisconnected)).isErr).toBe(true);
-    hold.onPause();
-    const admitted = hold.waitForAdmission(admit, isDisconnected);
+    expect((await grace.waitForAdmission(admit, isDisconnected)).isErr).toBe(true);
+    grace.onPause();
+    const admitted = grace.waitForAdmission(admit, isDisconnected);
     await clock.advance(30);
     isKnown = true;
     await clock.advance(20);
     expect((await admitted).isOk).toBe(true);
   });
 
-  it('waits for nothing else, and not for a caller that has left', async () => {
-    const hold = new StartupGrace(new ManualClock());
-    const unknown = await hold.waitForAdmission(
+  it('does not wait on other faults, or for a caller that has disconnected', async () => {
+    const grace = new StartupGrace(new ManualClock());
+    const unknown = await grace.waitForAdmission(
       () => refused('unknown_route'),
       () => false,
     );
     expect(unknown.isErr && unknown.error.code).toBe('unknown_route');
-    const gone = await hold.waitForAdmission(
+    const gone = await grace.waitForAdmission(
       () => refused('not_ready'),
       () => true,
     );
--- a/packages/relay/src/request/startup-grace.ts
+++ b/packages/relay/src/request/startup-grace.ts
@@ -3,19 +3,19 @@
 import type { Result } from 'true-myth';
 
 /**
- * How long after its start, or after a pause of its process, a host has requests wait for what it is about to be told. On hosts with a
- * third of a core it knows the configuration 0.22 s after it opens its port in the middle of 135 starts
- * and 0.26 s in nine of ten; the first heartbeat with the proof follows at once.
+ * How long after its start, or after a process pause, a host lets requests wait for its configuration. Hosts with a
+ * third of a core have it 0.22 s after they open their port in the median of 135 starts, and 0.26 s at the 90th
+ * percentile; the first heartbeat that confirms it follows at once.
  */
 const GRACE_MS: Milliseconds = 500;
-/** Pause before a waiting request is looked at again. */
+/** Period of the checks of a waiting request. */
 const POLL_PERIOD_MS: Milliseconds = 10;
 
 /**
- * Has requests wait that come to a host just after its start or a pause, before it knows what holds. After a loss of all
- * hosts callers come back at once, most of them for the last time: a refusal is the end of
- * their request, and what they wait for is there within a moment. Later a host that does not know
- * what holds has lost its way to the store and to all peers, and refuses at once.
+ * Lets requests wait that arrive just after the start or a pause of the process, before the host has a confirmed
+ * configuration. After a loss of all hosts callers retry at once, most of them for the last time: a refusal would
+ * fail their requests, although the configuration arrives within a moment. A host without a confirmed configuration
+ * at any later time has lost the store and all its peers, and refuses at once.
  */
 export class StartupGrace {
   #untilMs: Milliseconds;
@@ -24,12 +24,15 @@
     this.#untilMs = clock.monotonicMs() + GRACE_MS;
   }
 
-  /** The process stood still: what it knew is old, and it is about to be told. */
+  /** Handles a process pause: what the host knows is out of date and is about to be refreshed. */
   onPause(): void {
     this.#untilMs = this.clock.monotonicMs() + GRACE_MS;
   }
 
-  /** The result of `admit`, asked again until it is not `not_ready` any more or the time is over. */
+  /**
+   * Calls `admit` until its result is no longer `not_ready`, the caller has disconnected or the grace period is over;
+   * returns the last result.
+   */
   async waitForAdmission<Value>(
     admit: () => Result<Value, Fault>,
     isDisconnected: () => boolean,
