--- a/packages/relay/src/notices/server-notices.ts
+++ b/packages/relay/src/notices/server-notices.ts
@@ -75,8 +75,8 @@
   }
 
   /**
-   * Records that a server told host `reportedBy` at `announcedAtMs`, on this process's clock, that it is leaving; returns
-   * false if that was known.
+   * Records that a server told host `reportedBy` at `announcedAtMs`, on this process's clock, that it is leaving;
+   * returns false if that was known.
    */
   recordLeaving(server: BackendServer, announcedAtMs: Milliseconds, reportedBy: string): boolean {
     const { log, measures, servers } = this.parts;
--- a/packages/relay/src/quarantine/shared-quarantine.ts
+++ b/packages/relay/src/quarantine/shared-quarantine.ts
@@ -24,7 +24,9 @@
 /** Hosts beyond this rank share one grace period: they allow a trial run ten seconds after the first host would. */
 const MAX_RANK = 20;
 
-/** Formats which servers terminated while running a request, how long ago, and which host reported it. */
+/**
+ * Describes, for people, which servers terminated while running a request, how long ago, and which host reported it.
+ */
 export function describeTerminations({ lastTerminations }: QuarantineEntry, nowMs: number): string {
   return lastTerminations
     .map(
--- a/packages/relay/src/request/answer-events.ts
+++ b/packages/relay/src/request/answer-events.ts
@@ -5,7 +5,7 @@
 /** The events of one response, from all its attempts: sends each event to the caller once, in order. */
 export class ResponseEvents {
   #lastId: number | undefined;
-  /** Head of the response, taken from the first attempt that sends events. */
+  /** Head of the response: that of the first attempt that sends events, also for events of later attempts. */
   #head: ResponseHead | undefined;
 
   /** `lastId`: id of the last event that the caller already has; undefined if it has none. */
