--- a/packages/relay/src/request/attempt-ends.ts
+++ b/packages/relay/src/request/attempt-ends.ts
@@ -56,8 +56,8 @@
       return true;
     }
     this.suspect(choice.server, end.detail);
-    // The check precedes the retry: a termination of the next server counts only if this one is known when the
-    // retry begins.
+    // The check precedes the retry: a termination of the next server counts as a further one only if this one is
+    // known when the retry begins.
     if (end.kind === 'broken') {
       await this.parts.ends.probe(choice.attemptId, choice.server, end.detail);
     }
