--- a/packages/relay/src/backend/gated-engine-memory.ts
+++ b/packages/relay/src/backend/gated-engine-memory.ts
@@ -26,7 +26,7 @@
   backoffLeftMs(server: BackendServer): Milliseconds;
 }
 
-/** Engines accept no longer reservation in one command. */
+/** Longest reservation that engines accept in one command. */
 const MAX_RESERVATION_MS: Milliseconds = 10_000;
 
 /**
--- a/packages/relay/src/backend/held-memory.ts
+++ b/packages/relay/src/backend/held-memory.ts
@@ -52,7 +52,7 @@
     readonly use: ReservationRequest,
   ) {}
 
-  /** Reserves memory on all engines. Releases everything and returns undefined if one of them has too little. */
+  /** Reserves memory on all engines. Releases everything and returns undefined if one of them does not reserve it. */
   static async acquire(
     parts: MemoryReservationParts,
     id: string,
--- a/packages/relay/src/backend/server-attempt.test.ts
+++ b/packages/relay/src/backend/server-attempt.test.ts
@@ -80,7 +80,7 @@
 }
 
 describe('ServerAttempt', () => {
-  it('reports a response without a length as complete when its connection ends in order', async () => {
+  it('reports a response without a length as complete when its connection ends cleanly', async () => {
     const { end } = await attemptAt((socket) => socket.end(`${HEAD}\r\nbody`));
     expect(end.kind === 'whole' && end.body.toString()).toBe('body');
   });
--- a/packages/relay/src/backend/server-attempt.ts
+++ b/packages/relay/src/backend/server-attempt.ts
@@ -22,7 +22,7 @@
 
 /**
  * How an attempt ended. `not_sent`: no connection came up, so no byte was sent. `whole`: a complete response with
- * its body, of any status. `events_done`: an event stream ended in order. `broken`: the connection failed or the
+ * its body, of any status. `events_done`: an event stream ended cleanly. `broken`: the connection failed or the
  * response was invalid, and the server may have run the request. `cancelled`: by this host.
  */
 export type AttemptOutcome =
@@ -109,7 +109,7 @@
       socket.once('error', () => {
         this.#isReset = true;
       });
-      // Node reports a reset that arrives together with data as an orderly end; only in that case the socket
+      // Node reports a reset that arrives together with data as a clean end; only in that case the socket
       // has no remote address. The address must not be read earlier, as Node caches it.
       socket.prependOnceListener('end', () => {
         if (socket.remoteAddress === undefined) this.#isReset = true;
--- a/packages/relay/src/request/choice.ts
+++ b/packages/relay/src/request/choice.ts
@@ -66,8 +66,8 @@
 
 /**
  * Returns the ids of servers that are chosen last for a request: those that failed it or were blocked. Once it has
- * failed, also those in a ramp-up after a backoff and those that recently rejected requests; if these are all servers,
- * only those that failed it.
+ * failed, also those in a ramp-up after a backoff and those that recently rejected requests; if no other usable server
+ * remains, only those that failed it.
  */
 export function deprioritizedIds(inputs: ChoiceInputs): ReadonlySet<string> {
   const { parts, admitted, failedIds, blockedIds } = inputs;
--- a/packages/relay/src/request/choose-engines.ts
+++ b/packages/relay/src/request/choose-engines.ts
@@ -67,7 +67,7 @@
   return { servers, unusableIds };
 }
 
-/** Reserves memory on the engines that share the prompt; returns undefined if one of them has too little. */
+/** Reserves memory on the engines that share the prompt; returns undefined if one of them does not reserve it. */
 function reserveShares(
   { parts, caller, onDecodeEngineLost }: ChoiceInputs,
   decodeEngine: BackendServer,
--- a/packages/relay/src/request/choose-server.ts
+++ b/packages/relay/src/request/choose-server.ts
@@ -61,8 +61,8 @@
 }
 
 /**
- * Chooses a server of a plain service whose servers are all rate-limited: the host that grants permits names one, or
- * when one is available.
+ * Chooses a server of a plain service whose servers are all rate-limited: the host that grants permits returns one
+ * of them, or the time after which to retry.
  */
 async function chooseLimitedServer(inputs: ChoiceInputs): Promise<ImmediateOutcome> {
   const { admitted, isFinished, parts } = inputs;
--- a/packages/relay/src/request/run-answer.ts
+++ b/packages/relay/src/request/run-answer.ts
@@ -33,7 +33,7 @@
     else this.giveUp('the time limit has passed');
   }
 
-  /** Ends an event stream in order. */
+  /** Ends a complete event stream. */
   finishEvents(head: ResponseHead): void {
     this.#end('ok', this.parts.events.end(head));
   }
