--- a/packages/relay/src/backend/event-frames.ts
+++ b/packages/relay/src/backend/event-frames.ts
@@ -1,48 +1,48 @@
-/** One event of a stream: its bytes as they came, and its id if it has a number for one. */
+/** One event of a server-sent event stream: its raw bytes, and its id if that is a number. */
 export interface EventFrame {
   readonly bytes: Buffer;
   readonly id: number | undefined;
 }
 
-const LINE_FEEDS = Buffer.from('\n\n');
-const CARRIAGE_RETURNS = Buffer.from('\r\n\r\n');
+const LF_SEPARATOR = Buffer.from('\n\n');
+const CRLF_SEPARATOR = Buffer.from('\r\n\r\n');
 
 function endOfFrame(bytes: Buffer): number {
-  const plain = bytes.indexOf(LINE_FEEDS);
-  const carriage = bytes.indexOf(CARRIAGE_RETURNS);
-  const plainEnd = plain < 0 ? Number.POSITIVE_INFINITY : plain + LINE_FEEDS.length;
-  const carriageEnd = carriage < 0 ? Number.POSITIVE_INFINITY : carriage + CARRIAGE_RETURNS.length;
-  return Math.min(plainEnd, carriageEnd);
+  const lfIndex = bytes.indexOf(LF_SEPARATOR);
+  const crlfIndex = bytes.indexOf(CRLF_SEPARATOR);
+  const lfEnd = lfIndex < 0 ? Number.POSITIVE_INFINITY : lfIndex + LF_SEPARATOR.length;
+  const crlfEnd = crlfIndex < 0 ? Number.POSITIVE_INFINITY : crlfIndex + CRLF_SEPARATOR.length;
+  return Math.min(lfEnd, crlfEnd);
 }
 
 /**
- * The id of an event. Read from its line, as parsers of event streams pass over events without
- * data, and those must not be delivered twice either.
+ * Returns the numeric id of an event, or undefined if it has none. Reads the `id` line directly: event
+ * stream parsers skip events without data, and those must not be delivered twice either.
  */
 function idOf(frame: Buffer): number | undefined {
   const id = /^id:[ ]?(\d+)\r?$/m.exec(frame.toString('latin1'))?.[1];
   return id === undefined ? undefined : Number(id);
 }
 
-/** Cuts a stream into whole events, byte for byte; what comes of an unfinished one is held back. */
-export class EventFrames {
-  #rest: Buffer = Buffer.alloc(0);
+/** Splits a byte stream into complete events without changing a byte; buffers an incomplete event. */
+export class EventFrameSplitter {
+  #partial: Buffer = Buffer.alloc(0);
 
-  /** Whether part of an event is held back. */
-  get hasRest(): boolean {
-    return this.#rest.length > 0;
+  /** Whether an incomplete event is buffered. */
+  get hasPartialFrame(): boolean {
+    return this.#partial.length > 0;
   }
 
-  /** Takes bytes in; the events that are whole now. */
+  /** Appends bytes and returns the events that they complete. */
   push(chunk: Buffer): readonly EventFrame[] {
-    let bytes = this.#rest.length > 0 ? Buffer.concat([this.#rest, chunk]) : chunk;
+    let bytes = this.#partial.length > 0 ? Buffer.concat([this.#partial, chunk]) : chunk;
     const frames: EventFrame[] = [];
     for (let end = endOfFrame(bytes); end <= bytes.length; end = endOfFrame(bytes)) {
       const frame = bytes.subarray(0, end);
       frames.push({ bytes: frame, id: idOf(frame) });
       bytes = bytes.subarray(end);
     }
-    this.#rest = bytes;
+    this.#partial = bytes;
     return frames;
   }
 }
--- a/packages/relay/src/backend/gated-engine-memory.ts
+++ b/packages/relay/src/backend/gated-engine-memory.ts
@@ -8,46 +8,56 @@
   ServerNotice,
 } from '../ports.js';
 
-/** Takes in what an engine tells of itself in answers to orders and in reports. */
-export interface EngineWords {
-  /** The birth of the life that answered. */
-  onStartTime(asked: BackendServer, bornMs: Milliseconds): void;
-  /** Whether it leaves or wants rest. */
+/** Receives what engines report about themselves in answers to reservation commands and status queries. */
+export interface EngineObserver {
+  /** Reports the start time of the incarnation that answered; `asked` is the incarnation that was queried. */
+  onStartTime(asked: BackendServer, startedAtMs: Milliseconds): void;
+  /** Reports an engine's notice: leaving, backoff or rate limit. */
   onNotice(asked: BackendServer, word: ServerNotice): void;
 }
 
-/** Whether an engine may be sent an order or a question now, by what it said itself. */
-export interface OrderGate {
-  tryOrder(server: BackendServer): boolean;
-  tryQuestion(server: BackendServer): Promise<boolean>;
-  /** Whether it names a limit of what it is sent. */
+/** Decides by an engine's own notices whether it may be sent a reservation command or a status query now. */
+export interface EngineGate {
+  tryReservationCommand(server: BackendServer): boolean;
+  tryStatusQuery(server: BackendServer): Promise<boolean>;
+  /** Whether the engine reports a rate limit. */
   isLimited(server: BackendServer): boolean;
-  /** How long it rests still; 0 where it does not. */
-  restLeftMs(server: BackendServer): Milliseconds;
+  /** Remaining backoff of the engine; 0 if there is none. */
+  backoffLeftMs(server: BackendServer): Milliseconds;
 }
 
-/** Engines hold memory for no longer at once. */
-const LONGEST_HOLD_MS: Milliseconds = 10_000;
+/** Longest reservation that engines accept in one command. */
+const MAX_RESERVATION_MS: Milliseconds = 10_000;
 
-/** Memory at engines that name a limit is held by fewer orders, and free again soon where its host dies. */
-const LIMITED_HOLD_MS: Milliseconds = 3500;
+/**
+ * Rate-limited engines get longer reservations and so fewer commands; memory left by a crashed host is still freed
+ * soon.
+ */
+const LIMITED_RESERVATION_MS: Milliseconds = 3500;
 
-function overRestMs(holdMs: Milliseconds, restMs: Milliseconds): Milliseconds {
-  return Math.max(holdMs, Math.min(LONGEST_HOLD_MS, Math.round(holdMs + restMs)));
+function extendOverBackoff(reservationMs: Milliseconds, backoffMs: Milliseconds): Milliseconds {
+  return Math.max(
+    reservationMs,
+    Math.min(MAX_RESERVATION_MS, Math.round(reservationMs + backoffMs)),
+  );
 }
 
-/** An engine that rests, or names a limit that is used up, is asked nothing; it answered a moment ago, and nothing more is known of it. */
-const NOT_ASKED: EngineStatus = { running: 0, memoryTokens: 0 };
+/**
+ * Status of an engine that may not be queried, during a backoff or for want of a permit. It counts as alive, as it
+ * answered a moment ago; its load is unknown.
+ */
+const UNQUERIED_STATUS: EngineStatus = { running: 0, memoryTokens: 0 };
 
 /**
- * Engines' memory that passes on what engines tell of themselves: one that has started again answers as well as
- * before, while all that was held and ran there is gone. Engines that rest are sent no more than their gate allows.
+ * Decorates `EngineMemory`. Reports start times and notices from all answers to the observer: a restarted engine
+ * answers as before, although its reservations and running requests are lost. Sends an engine only what the gate
+ * allows.
  */
 export class GatedEngineMemory implements EngineMemory {
   constructor(
     readonly memory: EngineMemory,
-    readonly words: EngineWords,
-    readonly gate: OrderGate,
+    readonly observer: EngineObserver,
+    readonly gate: EngineGate,
   ) {}
 
   async reserve(
@@ -56,32 +66,34 @@
     tokens: number,
     holdMs: Milliseconds,
   ): Promise<ReserveResult> {
-    if (!this.gate.tryOrder(server)) return { isHeld: false };
-    // What a request uses there is held over the rest by one order.
-    const restMs = this.gate.restLeftMs(server);
-    const wantedMs = this.gate.isLimited(server) ? Math.max(holdMs, LIMITED_HOLD_MS) : holdMs;
-    const heldForMs = overRestMs(wantedMs, restMs);
-    const answer = await this.memory.reserve(server, id, tokens, heldForMs);
-    this.#tell(server, answer);
-    return { ...answer, heldForMs };
+    if (!this.gate.tryReservationCommand(server)) return { isHeld: false };
+    // One command reserves the memory beyond the end of the backoff.
+    const backoffMs = this.gate.backoffLeftMs(server);
+    const requestedMs = this.gate.isLimited(server)
+      ? Math.max(holdMs, LIMITED_RESERVATION_MS)
+      : holdMs;
+    const reservedForMs = extendOverBackoff(requestedMs, backoffMs);
+    const answer = await this.memory.reserve(server, id, tokens, reservedForMs);
+    this.#notifyObserver(server, answer);
+    return { ...answer, heldForMs: reservedForMs };
   }
 
   async release(server: BackendServer, id: string): Promise<ReleaseResult> {
-    if (!this.gate.tryOrder(server)) return { isAnswered: false };
+    if (!this.gate.tryReservationCommand(server)) return { isAnswered: false };
     const answer = await this.memory.release(server, id);
-    this.#tell(server, answer);
+    this.#notifyObserver(server, answer);
     return answer;
   }
 
   async readStatus(server: BackendServer): Promise<EngineStatus | undefined> {
-    if (!(await this.gate.tryQuestion(server))) return NOT_ASKED;
-    const work = await this.memory.readStatus(server);
-    if (work) this.#tell(server, work);
-    return work;
+    if (!(await this.gate.tryStatusQuery(server))) return UNQUERIED_STATUS;
+    const status = await this.memory.readStatus(server);
+    if (status) this.#notifyObserver(server, status);
+    return status;
   }
 
-  #tell(server: BackendServer, told: Pick<ReserveResult, 'startedAtMs' | 'word'>): void {
-    if (told.startedAtMs !== undefined) this.words.onStartTime(server, told.startedAtMs);
-    if (told.word) this.words.onNotice(server, told.word);
+  #notifyObserver(server: BackendServer, told: Pick<ReserveResult, 'startedAtMs' | 'word'>): void {
+    if (told.startedAtMs !== undefined) this.observer.onStartTime(server, told.startedAtMs);
+    if (told.word) this.observer.onNotice(server, told.word);
   }
 }
--- a/packages/relay/src/backend/held-memory.ts
+++ b/packages/relay/src/backend/held-memory.ts
@@ -4,100 +4,101 @@
 import type { Log } from '@poppypond/telemetry';
 import type { EngineMemory } from '../ports.js';
 
-/** Memory of one engine that a request needs. */
+/** KV cache memory that a request needs on one engine. */
 interface MemoryNeed {
   readonly server: BackendServer;
   readonly tokens: number;
 }
 
-/** What memory is held for. */
-export interface MemoryUse {
+/** What memory is reserved for. */
+export interface ReservationRequest {
   readonly requestId: string;
-  /** The engine that writes the answer. */
-  readonly writer: BackendServer;
+  /** The engine that generates the answer. */
+  readonly decodeEngine: BackendServer;
   readonly needs: readonly MemoryNeed[];
-  /** Called when the writer no longer answers; what is held is free again soon after. */
-  readonly onWriterLost: (writer: BackendServer) => void;
+  /** Called when the decode engine no longer answers status queries; the reservations expire soon after. */
+  readonly onDecodeEngineLost: (engine: BackendServer) => void;
 }
 
 /**
- * Memory is held for a short time and held on while the request lives, so that what a host leaves
- * behind that dies, or an order that is carried out late, is free again within seconds.
+ * Reservations are short and are renewed while the request runs, so that memory that a crashed host
+ * leaves behind, or that a delayed command reserves, is freed within seconds.
  */
-const HOLD_MS: Milliseconds = 2200;
-const HOLD_ON_PERIOD_MS: Milliseconds = 700;
-const RELEASE_TRIES = 3;
-const RELEASE_PAUSE_MS: Milliseconds = 200;
+const RESERVATION_MS: Milliseconds = 2200;
+const RENEWAL_PERIOD_MS: Milliseconds = 700;
+const MAX_RELEASE_ATTEMPTS = 3;
+const RELEASE_RETRY_DELAY_MS: Milliseconds = 200;
 
-/** What holding memory needs. */
-export interface HeldMemoryParts {
+/** Dependencies of `MemoryReservation`. */
+export interface MemoryReservationParts {
   readonly clock: Clock;
   readonly log: Log;
   readonly memory: EngineMemory;
 }
 
-/** The memory that one attempt holds on engines that don't write it. */
-export class HeldMemory {
-  #cancel: CancelTimer = () => undefined;
+/** The memory that one attempt reserves on engines other than its decode engine. */
+export class MemoryReservation {
+  #cancelRenewals: CancelTimer = () => undefined;
   #isReleased = false;
-  /** Until when memory is held on each engine at least, by id, on this process's clock. */
-  readonly #heldUntilMs = new Map<string, Milliseconds>();
-  /** Whether the writer answered the last question for its state. */
-  #isWriterHeard = true;
+  /** Until when memory is reserved at least, by engine id, on this process's clock. */
+  readonly #reservedUntilMs = new Map<string, Milliseconds>();
+  /** Whether the decode engine answered the last status query. */
+  #isDecodeEngineResponsive = true;
 
   private constructor(
-    readonly parts: HeldMemoryParts,
-    /** Names the memory; never used twice. */
+    readonly parts: MemoryReservationParts,
+    /** Identifies the reservation on all engines; never reused. */
     readonly id: string,
-    readonly use: MemoryUse,
+    readonly use: ReservationRequest,
   ) {}
 
-  /** Holds all that is needed, or nothing. */
-  static async take(
-    parts: HeldMemoryParts,
+  /** Reserves memory on all engines. Releases everything and returns undefined if one of them does not reserve it. */
+  static async acquire(
+    parts: MemoryReservationParts,
     id: string,
-    use: MemoryUse,
-  ): Promise<HeldMemory | undefined> {
-    const held = new HeldMemory(parts, id, use);
-    const answers = await held.#reserveAll();
-    const isWhole = answers.every((isHeld) => isHeld);
+    use: ReservationRequest,
+  ): Promise<MemoryReservation | undefined> {
+    const held = new MemoryReservation(parts, id, use);
+    const results = await held.#reserveAll();
+    const isComplete = results.every((isHeld) => isHeld);
     parts.log.info('memory_held', {
       request: use.requestId,
       reservation: id,
       engines: use.needs.length,
       tokens: use.needs.reduce((sum, need) => sum + need.tokens, 0),
-      held: isWhole,
+      held: isComplete,
     });
-    if (!isWhole) {
+    if (!isComplete) {
       await held.release();
       return undefined;
     }
-    held.#cancel = parts.clock.every(HOLD_ON_PERIOD_MS, () => {
-      void held.#holdOn();
+    held.#cancelRenewals = parts.clock.every(RENEWAL_PERIOD_MS, () => {
+      void held.#renew();
     });
     return held;
   }
 
-  /** Frees everything; tries again where no answer comes, else it lapses. */
+  /** Releases everything. Retries a few times where no answer comes; after that the reservation expires by itself. */
   async release(): Promise<void> {
     if (this.#isReleased) return;
     this.#isReleased = true;
-    this.#cancel();
+    this.#cancelRenewals();
     await Promise.all(this.use.needs.map((need) => this.#releaseOne(need.server)));
   }
 
   /**
-   * Holds on for a writer that lives. One that has died uses the memory no more, while its attempt may
-   * wait to its end where no other may follow: the memory then stayed held for 5 s and more.
+   * Renews the reservations while the decode engine answers status queries. An engine that has died no longer
+   * uses the memory, but its attempt may run until its deadline if it may not be retried: renewals would then
+   * keep the memory reserved for 5 s and longer.
    */
-  async #holdOn(): Promise<void> {
-    const wasHeard = this.#isWriterHeard;
-    if (wasHeard) void this.#reserveAll();
-    const work = await this.parts.memory.readStatus(this.use.writer);
+  async #renew(): Promise<void> {
+    const wasResponsive = this.#isDecodeEngineResponsive;
+    if (wasResponsive) void this.#reserveAll();
+    const status = await this.parts.memory.readStatus(this.use.decodeEngine);
     if (this.#isReleased) return;
-    this.#isWriterHeard = work !== undefined;
-    if (!work) this.use.onWriterLost(this.use.writer);
-    else if (!wasHeard) void this.#reserveAll();
+    this.#isDecodeEngineResponsive = status !== undefined;
+    if (!status) this.use.onDecodeEngineLost(this.use.decodeEngine);
+    else if (!wasResponsive) void this.#reserveAll();
   }
 
   #reserveAll(): Promise<readonly boolean[]> {
@@ -106,25 +107,30 @@
 
   async #reserveOne({ server, tokens }: MemoryNeed): Promise<boolean> {
     const { clock, memory } = this.parts;
-    // Where an engine rests, one order holds the memory until it may be sent the next.
+    // During a backoff of the engine one command reserves the memory until the next command may be sent.
     const nowMs = clock.monotonicMs();
-    if ((this.#heldUntilMs.get(server.id) ?? 0) > nowMs + HOLD_MS) return true;
-    const { isHeld, heldForMs = HOLD_MS } = await memory.reserve(server, this.id, tokens, HOLD_MS);
-    if (isHeld) this.#heldUntilMs.set(server.id, nowMs + heldForMs);
+    if ((this.#reservedUntilMs.get(server.id) ?? 0) > nowMs + RESERVATION_MS) return true;
+    const { isHeld, heldForMs = RESERVATION_MS } = await memory.reserve(
+      server,
+      this.id,
+      tokens,
+      RESERVATION_MS,
+    );
+    if (isHeld) this.#reservedUntilMs.set(server.id, nowMs + heldForMs);
     return isHeld;
   }
 
   async #releaseOne(server: BackendServer): Promise<void> {
-    for (let tries = 0; tries < RELEASE_TRIES; tries += 1) {
+    for (let tries = 0; tries < MAX_RELEASE_ATTEMPTS; tries += 1) {
       const { isAnswered } = await this.parts.memory.release(server, this.id);
       if (isAnswered) return;
-      await delay(this.parts.clock, RELEASE_PAUSE_MS);
+      await delay(this.parts.clock, RELEASE_RETRY_DELAY_MS);
     }
     this.parts.log.warn('memory_left_to_lapse', {
       request: this.use.requestId,
       reservation: this.id,
       server: server.id,
-      within_ms: HOLD_MS,
+      within_ms: RESERVATION_MS,
     });
   }
 }
--- a/packages/relay/src/backend/server-attempt.ts
+++ b/packages/relay/src/backend/server-attempt.ts
@@ -4,91 +4,91 @@
 import { request } from 'node:http';
 import type { ClientRequest, IncomingMessage } from 'node:http';
 import type { ResponseHead, HeaderPairs } from '../ports.js';
-import { EventFrames } from './event-frames.js';
+import { EventFrameSplitter } from './event-frames.js';
 import type { EventFrame } from './event-frames.js';
 
-/** One attempt of a request at one backend server. */
-export interface ServerCall {
+/** The request that one attempt sends to a backend server. */
+export interface AttemptRequest {
   readonly server: BackendServer;
   readonly method: string;
   readonly path: string;
   readonly headers: HeaderPairs;
   readonly body: Buffer;
-  /** The request that the answer must name. */
+  /** The request id that the response must carry. */
   readonly requestId: string;
-  /** Whether a good answer is to come as events. */
+  /** Whether a successful response is an event stream. */
   readonly wantsEvents: boolean;
 }
 
 /**
- * How an attempt ended. `not_sent`: no byte left this host. `whole`: an answer with its whole
- * body, of any status. `events_done`: a stream came to its orderly end. `broken`: the connection
- * or the answer was spoiled, and the server may have run the request. `cancelled`: by us.
+ * How an attempt ended. `not_sent`: no connection came up, so no byte was sent. `whole`: a complete response with
+ * its body, of any status. `events_done`: an event stream ended cleanly. `broken`: the connection failed or the
+ * response was invalid, and the server may have run the request. `cancelled`: by this host.
  */
-export type AttemptEnd =
+export type AttemptOutcome =
   | { readonly kind: 'not_sent'; readonly detail: string }
   | { readonly kind: 'whole'; readonly head: ResponseHead; readonly body: Buffer }
   | { readonly kind: 'events_done'; readonly head: ResponseHead }
   | { readonly kind: 'broken'; readonly detail: string }
   | { readonly kind: 'cancelled' };
 
-/** Called while a stream runs; false stops reading until `resume`. */
+/** Called with each batch of complete events; returns false to pause reading until `resume`. */
 type FramesListener = (frames: readonly EventFrame[], head: ResponseHead) => boolean;
 
-/** What an attempt needs besides its call. */
+/** Dependencies of `ServerAttempt`. */
 export interface AttemptParts {
   readonly clock: Clock;
-  readonly readAnswer: (message: IncomingMessage) => ResponseHead;
-  /** The head of an answer of this server to this request has come, of whatever status. */
+  readonly parseResponseHead: (message: IncomingMessage) => ResponseHead;
+  /** Called with the head of a response to this request, of any status. */
   readonly onHead: (head: ResponseHead) => void;
   readonly onFrames: FramesListener;
 }
 
-/** Plain answers are held until they are whole, up to this size. */
-const MOST_ANSWER_BYTES = 4 * 1024 * 1024;
-const SUCCESS_FROM = 200;
-const SUCCESS_BELOW = 300;
+/** Responses that are not event streams are buffered until complete, up to this size. */
+const MAX_RESPONSE_BYTES = 4 * 1024 * 1024;
+const MIN_SUCCESS_STATUS = 200;
+const SUCCESS_STATUS_END = 300;
 
 function isSuccess(status: number): boolean {
-  return status >= SUCCESS_FROM && status < SUCCESS_BELOW;
+  return status >= MIN_SUCCESS_STATUS && status < SUCCESS_STATUS_END;
 }
 
 /**
- * Runs one attempt on a connection of its own, so that no byte of an earlier answer can be taken
- * for this one's, and none after its end counts.
+ * Runs one attempt on a connection of its own, so that bytes of an earlier response can't be mistaken for this
+ * one, and bytes after its end are ignored.
  */
 export class ServerAttempt {
-  readonly done: Promise<AttemptEnd>;
-  #finish: (end: AttemptEnd) => void = () => undefined;
+  readonly done: Promise<AttemptOutcome>;
+  #resolveDone: (end: AttemptOutcome) => void = () => undefined;
   #isFinished = false;
   #isConnected = false;
-  /** Node counts an answer without a length as complete also when its connection is reset. */
+  /** Tracked because Node reports a response without a length as complete even if its connection was reset. */
   #isReset = false;
-  #cancelConnectLimit: CancelTimer = () => undefined;
+  #cancelConnectTimeout: CancelTimer = () => undefined;
   readonly #request: ClientRequest;
   #response: IncomingMessage | undefined;
 
   constructor(
-    readonly call: ServerCall,
+    readonly call: AttemptRequest,
     readonly parts: AttemptParts,
   ) {
     this.done = new Promise((resolve) => {
-      this.#finish = resolve;
+      this.#resolveDone = resolve;
     });
     this.#request = this.#open();
   }
 
-  /** Whether the server has taken the connection; before that nothing was sent. */
+  /** Whether the connection is established; before that nothing was sent. */
   get isConnected(): boolean {
     return this.#isConnected;
   }
 
-  /** Stops the attempt by closing its connection, which stops the server's work too. */
+  /** Cancels the attempt by closing its connection, which also stops the server's work. */
   cancel(): void {
-    this.#end({ kind: 'cancelled' });
+    this.#settle({ kind: 'cancelled' });
   }
 
-  /** Reads on after the listener asked for a pause. */
+  /** Resumes reading after `onFrames` returned false. */
   resume(): void {
     this.#response?.resume();
   }
@@ -109,14 +109,14 @@
       socket.once('error', () => {
         this.#isReset = true;
       });
-      // A reset that comes together with bytes is told as an orderly end; only then there is no
-      // peer any more. The address must not have been asked for before, as it is remembered.
+      // Node reports a reset that arrives together with data as a clean end; only in that case the socket
+      // has no remote address. The address must not be read earlier, as Node caches it.
       socket.prependOnceListener('end', () => {
         if (socket.remoteAddress === undefined) this.#isReset = true;
       });
       socket.once('connect', () => {
         this.#isConnected = true;
-        this.#cancelConnectLimit();
+        this.#cancelConnectTimeout();
       });
     });
     opened.once('response', (response) => {
@@ -126,10 +126,10 @@
       this.#onError(error.message);
     });
     opened.once('close', () => {
-      this.#onError('closed without an answer');
+      this.#onError('connection closed without a response');
     });
-    this.#cancelConnectLimit = this.parts.clock.after(CONNECT_LIMIT_MS, () => {
-      if (!this.#isConnected) this.#end({ kind: 'not_sent', detail: 'no connection in time' });
+    this.#cancelConnectTimeout = this.parts.clock.after(CONNECT_LIMIT_MS, () => {
+      if (!this.#isConnected) this.#settle({ kind: 'not_sent', detail: 'connect timeout' });
     });
     opened.end(body);
     return opened;
@@ -137,29 +137,32 @@
 
   #onError(detail: string): void {
     if (this.#response) return;
-    this.#end(this.#isConnected ? { kind: 'broken', detail } : { kind: 'not_sent', detail });
+    this.#settle(this.#isConnected ? { kind: 'broken', detail } : { kind: 'not_sent', detail });
   }
 
-  #end(end: AttemptEnd): void {
+  #settle(end: AttemptOutcome): void {
     if (this.#isFinished) return;
     this.#isFinished = true;
-    this.#cancelConnectLimit();
+    this.#cancelConnectTimeout();
     this.#request.destroy();
-    this.#finish(end);
+    this.#resolveDone(end);
   }
 
   #onResponse(response: IncomingMessage): void {
     this.#response = response;
-    const head = this.parts.readAnswer(response);
+    const head = this.parts.parseResponseHead(response);
     response.on('error', () => undefined);
-    // Refusals may lack the request's identifier; one of another request is another answer.
+    // Error responses may lack a request id; a response with another id answers another request.
     if ((head.requestId ?? this.call.requestId) === this.call.requestId) this.parts.onHead(head);
     if (isSuccess(head.status) && (head.requestId !== this.call.requestId || !head.isSigned)) {
-      this.#end({ kind: 'broken', detail: 'the answer is not one to this request' });
+      this.#settle({
+        kind: 'broken',
+        detail: 'the response does not carry the id of this request or is unsigned',
+      });
     } else if (isSuccess(head.status) && this.call.wantsEvents) {
       this.#readEvents(response, head);
     } else {
-      this.#readWhole(response, head);
+      this.#readBody(response, head);
     }
   }
 
@@ -168,32 +171,32 @@
   }
 
   #readEvents(response: IncomingMessage, head: ResponseHead): void {
-    const frames = new EventFrames();
+    const splitter = new EventFrameSplitter();
     response.on('data', (chunk: Buffer) => {
       if (this.#isFinished) return;
-      const whole = frames.push(chunk);
-      if (whole.length > 0 && !this.parts.onFrames(whole, head)) response.pause();
+      const complete = splitter.push(chunk);
+      if (complete.length > 0 && !this.parts.onFrames(complete, head)) response.pause();
     });
     response.once('close', () => {
-      const isOrderly = this.#isComplete(response) && !frames.hasRest;
-      const detail = 'the stream ended early';
-      this.#end(isOrderly ? { kind: 'events_done', head } : { kind: 'broken', detail });
+      const isOrderly = this.#isComplete(response) && !splitter.hasPartialFrame;
+      const detail = 'event stream ended early';
+      this.#settle(isOrderly ? { kind: 'events_done', head } : { kind: 'broken', detail });
     });
   }
 
-  #readWhole(response: IncomingMessage, head: ResponseHead): void {
+  #readBody(response: IncomingMessage, head: ResponseHead): void {
     const chunks: Buffer[] = [];
     let bytes = 0;
     response.on('data', (chunk: Buffer) => {
       chunks.push(chunk);
       bytes += chunk.length;
-      if (bytes > MOST_ANSWER_BYTES)
-        this.#end({ kind: 'broken', detail: 'the answer is too large' });
+      if (bytes > MAX_RESPONSE_BYTES)
+        this.#settle({ kind: 'broken', detail: 'response body is too large' });
     });
     response.once('close', () => {
       if (this.#isComplete(response))
-        this.#end({ kind: 'whole', head, body: Buffer.concat(chunks) });
-      else this.#end({ kind: 'broken', detail: 'the answer ended early' });
+        this.#settle({ kind: 'whole', head, body: Buffer.concat(chunks) });
+      else this.#settle({ kind: 'broken', detail: 'response body ended early' });
     });
   }
 }
--- a/packages/relay/src/notices/permit-client.ts
+++ b/packages/relay/src/notices/permit-client.ts
@@ -4,73 +4,79 @@
 import type { PlacementOutcome } from '../planning/placement-client.js';
 import type { PlanRequest } from '../planning/plan-request.js';
 
-/** Places of servers' limits that an attempt was given. */
+/** Permits that an attempt was granted for rate-limited servers. */
 export interface SendPermit {
   readonly serverIds: readonly string[];
-  /** When this host was given them, on its clock. */
-  readonly givenAtMs: Milliseconds;
+  /** When this host received them, on its monotonic clock. */
+  readonly grantedAtMs: Milliseconds;
 }
 
-/** How permits are asked for. */
-export interface PermitPlacing {
-  place(request: PlanRequest, isOver: () => boolean): Promise<PlacementOutcome>;
-  /** Tells of a request without waiting for an answer. */
+/** Sends permit requests to the planner. */
+export interface PermitPlacement {
+  place(request: PlanRequest, isFinished: () => boolean): Promise<PlacementOutcome>;
+  /** Sends a request without waiting for an answer. */
   notify(request: PlanRequest): void;
 }
 
-/** What asking for permits needs. */
-export interface PermitsParts {
+/** Dependencies of `PermitClient`. */
+export interface PermitClientParts {
   readonly clock: Clock;
   readonly host: string;
-  readonly placement: PermitPlacing;
+  readonly placement: PermitPlacement;
   /** Uniform random numbers in [0, 1). */
   readonly random: () => number;
 }
 
-/** A server without a place is asked for again after this at least: hosts must not all ask for the next one. */
-const SHORTEST_CLOSED_MS: Milliseconds = 50;
-const LONGEST_CLOSED_MS: Milliseconds = 2000;
-/** An order or a question waits for so long at most for the answer of whoever gives out places. */
-const ASK_LIMIT_MS: Milliseconds = 200;
+/**
+ * Shortest delay before a server without a free permit is requested again, so that hosts don't all request its next
+ * one.
+ */
+const MIN_RETRY_DELAY_MS: Milliseconds = 50;
+const MAX_RETRY_DELAY_MS: Milliseconds = 2000;
+/** Longest wait of a reservation command or a status query for the answer of the host that grants permits. */
+const REQUEST_TIMEOUT_MS: Milliseconds = 200;
 
-/** Asks the host that gives out places of limits for what is not planned: calls, orders and questions. */
+/**
+ * Requests permits from the host that grants them, for what is not planned: calls, reservation commands and status
+ * queries.
+ */
 export class PermitClient {
-  readonly #closedUntilMs = new Map<string, Milliseconds>();
+  readonly #unavailableUntilMs = new Map<string, Milliseconds>();
 
-  constructor(readonly parts: PermitsParts) {}
+  constructor(readonly parts: PermitClientParts) {}
 
-  /** Whether a place of a server may be there, as far as is known. */
-  mayBeOpen({ id }: BackendServer): boolean {
-    return (this.#closedUntilMs.get(id) ?? 0) <= this.parts.clock.monotonicMs();
+  /** Whether a permit for a server may be available, as far as this host knows. */
+  mayHavePermit({ id }: BackendServer): boolean {
+    return (this.#unavailableUntilMs.get(id) ?? 0) <= this.parts.clock.monotonicMs();
   }
 
-  /** Asks for one place of a server that is there now; undefined where there is none. */
-  async tryTake(server: BackendServer): Promise<SendPermit | undefined> {
-    if (!this.mayBeOpen(server)) return undefined;
-    const { clock, placement: placing } = this.parts;
+  /** Requests one permit for a server; returns undefined if none is available now. */
+  async tryAcquire(server: BackendServer): Promise<SendPermit | undefined> {
+    if (!this.mayHavePermit(server)) return undefined;
+    const { clock, placement } = this.parts;
     const request = this.#requestFor(server, false);
-    const isOver = () => clock.monotonicMs() >= request.deadlineAtMs;
-    const placed = await placing.place(request, isOver);
+    const isExpired = () => clock.monotonicMs() >= request.deadlineAtMs;
+    const placed = await placement.place(request, isExpired);
     if (placed.kind === 'place') {
-      return { serverIds: placed.stream.permittedIds, givenAtMs: clock.monotonicMs() };
+      return { serverIds: placed.stream.permittedIds, grantedAtMs: clock.monotonicMs() };
     }
-    this.#close(server, placed.kind === 'refuse' ? placed.retryAfterMs : undefined);
+    this.#markUnavailable(server, placed.kind === 'refuse' ? placed.retryAfterMs : undefined);
     return undefined;
   }
 
-  /** Has one place of a server counted that is used without being asked for. */
-  noteUsed(server: BackendServer): void {
+  /** Reports one request to a server that is sent without a permit, so that it is counted against the limit. */
+  recordUse(server: BackendServer): void {
     this.parts.placement.notify(this.#requestFor(server, true));
   }
 
-  #close({ id }: BackendServer, nextMs: Milliseconds = LONGEST_CLOSED_MS): void {
-    const { clock, random: draw } = this.parts;
-    const forMs = Math.max(SHORTEST_CLOSED_MS, nextMs) * (1 + draw());
+  #markUnavailable({ id }: BackendServer, retryAfterMs: Milliseconds = MAX_RETRY_DELAY_MS): void {
+    const { clock, random } = this.parts;
+    const forMs = Math.max(MIN_RETRY_DELAY_MS, retryAfterMs) * (1 + random());
     const nowMs = clock.monotonicMs();
-    for (const [other, untilMs] of this.#closedUntilMs) {
-      if (untilMs <= nowMs) this.#closedUntilMs.delete(other);
+    for (const [other, untilMs] of this.#unavailableUntilMs) {
+      if (untilMs <= nowMs) this.#unavailableUntilMs.delete(other);
     }
-    this.#closedUntilMs.set(id, nowMs + Math.min(LONGEST_CLOSED_MS, forMs));
+    this.#unavailableUntilMs.set(id, nowMs + Math.min(MAX_RETRY_DELAY_MS, forMs));
   }
 
   #requestFor({ id, service }: BackendServer, isSent: boolean): PlanRequest {
@@ -88,7 +94,7 @@
       ...none,
       arrivedAtMs: nowMs,
       callerSilentSinceMs: nowMs,
-      deadlineAtMs: nowMs + ASK_LIMIT_MS,
+      deadlineAtMs: nowMs + REQUEST_TIMEOUT_MS,
       avoidedIds: [],
       excludedIds: [],
       permit: { serverIds: [id], isSent },
--- a/packages/relay/src/quarantine/run-ends.test.ts
+++ b/packages/relay/src/quarantine/run-ends.test.ts
@@ -9,8 +9,8 @@
 import type { CallerHead } from '../ports.js';
 import { ServerList } from '../store/server-list.js';
 import { contentOf } from './request-content.js';
-import { RunEnds } from './run-ends.js';
-import type { FoundServer } from './run-ends.js';
+import { TerminationDetector } from './run-ends.js';
+import type { ProbedServer } from './run-ends.js';
 import { SharedQuarantine } from './shared-quarantine.js';
 
 const CALLER: CallerHead = {
@@ -25,7 +25,7 @@
   lastEventId: undefined,
   forwarded: [],
 };
-/** Nothing listens there: it is below the ports that tests take. */
+/** No process listens on this port: it is below the range that tests use. */
 const REFUSING_PORT = 9;
 
 const listening: Server[] = [];
@@ -34,9 +34,9 @@
   for (const server of listening.splice(0)) server.close();
 });
 
-function serverAt(id: string, port: number, bornMs = 1): BackendServer {
+function serverAt(id: string, port: number, startedAtMs = 1): BackendServer {
   const place = { address: '127.0.0.1', port, availabilityZone: 'z' };
-  return { id, service: 's', ...place, slots: 1, isDraining: false, startedAtMs: bornMs };
+  return { id, service: 's', ...place, slots: 1, isDraining: false, startedAtMs };
 }
 
 async function listen(): Promise<number> {
@@ -47,23 +47,26 @@
   return typeof bound === 'object' && bound ? bound.port : 0;
 }
 
-function make() {
+function createDetector() {
   const clock = new SystemClock();
   const servers = new ServerList(clock, silentLog);
   const shared = { clock, log: silentLog, measures: new Measures(), host: 'host-1' };
   const quarantine = new SharedQuarantine({ ...shared, quarantine: new Quarantine() });
-  const found: FoundServer[] = [];
+  const found: ProbedServer[] = [];
   const follow = (body: string, caller = CALLER) => {
     const content = contentOf(caller, 'w', Buffer.from(body));
     const followed = new FollowedRequest(quarantine, content);
-    const onFound = (server: FoundServer) => found.push(server);
-    return { followed, ends: new RunEnds({ clock, servers, onFound }, followed) };
+    const onProbed = (server: ProbedServer) => found.push(server);
+    return {
+      followed,
+      ends: new TerminationDetector({ clock, servers, onProbed }, followed),
+    };
   };
   return { servers, follow, found };
 }
 
 describe('SharedQuarantine', () => {
-  it('tells callers to come back when this host gives the trial, not when the first one would', async () => {
+  it('returns the time until this host, not the first in rank, allows the trial run', async () => {
     const clock = new ManualClock();
     const shared = { clock, log: silentLog, measures: new Measures(), host: 'host-4' };
     const quarantine = new SharedQuarantine({ ...shared, quarantine: new Quarantine() });
@@ -82,19 +85,19 @@
   });
 });
 
-describe('RunEnds', () => {
-  it('counts ends of attempts of one try and of others, whatever the identifiers of the tries', async () => {
-    const { follow } = make();
+describe('TerminationDetector', () => {
+  it('counts terminations over all tries of a request, whatever the identifiers of the tries', async () => {
+    const { follow } = createDetector();
     const first = follow('body');
     for (const attempt of ['a', 'b']) {
       first.followed.begin(attempt);
-      await first.ends.askAfter(attempt, serverAt(attempt, REFUSING_PORT), 'broken');
+      await first.ends.probe(attempt, serverAt(attempt, REFUSING_PORT), 'broken');
       expect(first.followed.checkHold()).toBeUndefined();
     }
     const second = follow('body', { ...CALLER, requestId: 'another' });
     expect(second.followed.checkHold()).toBeUndefined();
     second.followed.begin('c');
-    await second.ends.askAfter('c', serverAt('c', REFUSING_PORT), 'broken');
+    await second.ends.probe('c', serverAt('c', REFUSING_PORT), 'broken');
     const held = second.followed.checkHold();
     expect(held?.entry.lastTerminations.map(({ server }) => server)).toEqual(['a', 'b', 'c']);
     expect(follow('body').followed.checkHold()).toBeDefined();
@@ -102,23 +105,23 @@
     expect(follow('body', { ...CALLER, path: '/q' }).followed.checkHold()).toBeUndefined();
   });
 
-  it('counts one end for an attempt, though its server and its readers are asked after', async () => {
-    const { follow, found } = make();
+  it('counts one termination for an attempt whose decode and prefill engines both terminated', async () => {
+    const { follow, found } = createDetector();
     const run = follow('body');
     run.followed.begin('a');
     for (const id of ['writer', 'reader']) {
-      await run.ends.askAfter('a', serverAt(id, REFUSING_PORT), 'broken');
+      await run.ends.probe('a', serverAt(id, REFUSING_PORT), 'broken');
     }
     expect(found.map(({ ends }) => ends)).toEqual([1, 1]);
   });
 
-  it('counts no server that lives, but one whose next life is told soon after', async () => {
-    const { servers, follow, found } = make();
+  it('does not count a server that accepts connections, unless its next incarnation is listed soon after', async () => {
+    const { servers, follow, found } = createDetector();
     const server = serverAt('s1', await listen());
     servers.replace([server], 0, 1);
     const run = follow('body');
     run.followed.begin('a');
-    await run.ends.askAfter('a', server, 'broken');
+    await run.ends.probe('a', server, 'broken');
     expect(found.map((each) => [each.found, each.ends])).toEqual([['listening', 0]]);
     servers.replace([{ ...server, startedAtMs: 2 }], 0, 2);
     expect(found.map((each) => [each.found, each.ends])).toEqual([
--- a/packages/relay/src/quarantine/shared-quarantine.ts
+++ b/packages/relay/src/quarantine/shared-quarantine.ts
@@ -9,114 +9,119 @@
 } from '@poppypond/fleet';
 import type { Log, Measures } from '@poppypond/telemetry';
 
-/** What it needs. */
+/** Dependencies of `SharedQuarantine`. */
 export interface SharedQuarantineParts {
   readonly clock: Clock;
   readonly log: Log;
   readonly measures: Measures;
-  /** This host. */
+  /** Name of this host. */
   readonly host: string;
   readonly quarantine: Quarantine;
 }
 
-/** Word of a trial is with all hosts within this time, by a heartbeat if its message is lost. */
-const GRACE_PER_PLACE_MS: Milliseconds = 500;
-/** Hosts after this one give a trial at the same time: some ten seconds after the first would. */
-const LAST_PLACE = 20;
-
-/** Which servers ended under a request, when and by whose word, for people. */
-export function describeEnds(
-  { lastTerminations: lastEnds }: QuarantineEntry,
-  nowMs: number,
-): string {
-  return lastEnds
+/** All hosts learn of a trial run within this time, from a heartbeat if the message about it is lost. */
+const GRACE_PER_RANK_MS: Milliseconds = 500;
+/** Hosts beyond this rank share one grace period: they allow a trial run ten seconds after the first host would. */
+const MAX_RANK = 20;
+
+/**
+ * Describes, for people, which servers terminated while running a request, how long ago, and which host reported it.
+ */
+export function describeTerminations({ lastTerminations }: QuarantineEntry, nowMs: number): string {
+  return lastTerminations
     .map(
       ({ server, host, atMs }) => `${server} ${String(Math.round(nowMs - atMs))}ms ago (${host})`,
     )
     .join(', ');
 }
 
-/** What this host and its peers know of requests under which servers ended; logs each change of belief. */
+/**
+ * The quarantine of requests whose attempts terminate servers, as known to this host and its peers; logs each change.
+ */
 export class SharedQuarantine implements QuarantineRegistry {
   #onChange: (entry: QuarantineEntry) => void = () => undefined;
-  #placeOfHost: () => number = () => 0;
+  #rankOfHost: () => number = () => 0;
 
   constructor(readonly parts: SharedQuarantineParts) {}
 
-  /** `callback` is told what this host has found out by itself. */
+  /** Sets the callback for changes that this host has found out itself. */
   onChange(callback: (entry: QuarantineEntry) => void): void {
     this.#onChange = callback;
   }
 
-  /** `place` tells how many hosts that are there come before this one. */
+  /** Sets how the rank of this host is found: the number of reachable hosts before it. */
   setRankSource(place: () => number): void {
-    this.#placeOfHost = place;
+    this.#rankOfHost = place;
   }
 
-  /** Whether a request whose name begins with `hint` may be known. */
-  mayContain(hint: () => string): boolean {
-    return this.parts.quarantine.mayContain(hint);
+  /** Whether a request whose content id begins with `prefix` may be known. */
+  mayContain(prefix: () => string): boolean {
+    return this.parts.quarantine.mayContain(prefix);
   }
 
-  /** What is known of a request; undefined where nothing is. */
+  /** Returns the entry of a request, or undefined if there is none. */
   find(content: string): QuarantineEntry | undefined {
     return this.parts.quarantine.find(content);
   }
 
-  /** To be asked as a run of a request begins. */
+  /** Returns the terminations that are known as a run of a request begins. */
   historyOf(content: string): TerminationHistory {
     return this.parts.quarantine.historyOf(content);
   }
 
-  /** Whether a request may run now. */
+  /** Decides whether a request may run now; publishes a trial run that this allows. */
   judge(content: string): QuarantineVerdict {
     const { clock, quarantine } = this.parts;
     const verdict = quarantine.judge(content, clock.monotonicMs(), this.#graceMs);
     const entry = quarantine.find(content);
-    if (verdict === 'trial' && entry) this.#change('trial', entry);
+    if (verdict === 'trial' && entry) this.#publish('trial', entry);
     return verdict;
   }
 
-  /** Until this host gives a trial, which callers are told to come back for. */
-  quarantinedForMs({ quarantinedUntilMs: heldUntilMs }: QuarantineEntry): Milliseconds {
-    return Math.max(0, heldUntilMs + this.#graceMs - this.parts.clock.monotonicMs());
+  /** Returns the time until this host allows a trial run, which callers receive as their retry delay. */
+  quarantinedForMs({ quarantinedUntilMs }: QuarantineEntry): Milliseconds {
+    return Math.max(0, quarantinedUntilMs + this.#graceMs - this.parts.clock.monotonicMs());
   }
 
-  /** A server ended under a run of this host that began when `began` was known; what is known now. */
-  onTermination(content: string, began: TerminationHistory, server: string): QuarantineEntry {
+  /**
+   * Records that a server terminated during a run of this host; `history`: what was known as the run began. Returns
+   * the new entry.
+   */
+  onTermination(content: string, history: TerminationHistory, server: string): QuarantineEntry {
     const { clock, quarantine, host } = this.parts;
-    const wasHeld = this.#isHeld(content);
+    const wasQuarantined = this.#isQuarantined(content);
     const end = { server, host, atMs: clock.monotonicMs() };
-    const entry = quarantine.onTermination(content, began, end);
-    if (isQuarantined(entry) && !wasHeld) this.#change('held', entry);
+    const entry = quarantine.onTermination(content, history, end);
+    if (isQuarantined(entry) && !wasQuarantined) this.#publish('held', entry);
     else this.#onChange(entry);
     return entry;
   }
 
-  /** A request was served by this host. */
+  /** Records that this host has served a request, which ends its quarantine. */
   onServed(content: string): void {
     const { clock, quarantine } = this.parts;
     const entry = quarantine.onServed(content, clock.monotonicMs());
-    if (entry) this.#change('freed', entry);
+    if (entry) this.#publish('freed', entry);
   }
 
-  /** Takes in what a peer has told; the entries that were news. */
+  /** Merges entries from a peer and returns those that were new. */
   mergeFromPeer(entries: readonly QuarantineEntry[], host: string): readonly QuarantineEntry[] {
     return entries.filter((entry) => {
-      const wasHeld = this.#isHeld(entry.content);
+      const wasQuarantined = this.#isQuarantined(entry.content);
       if (!this.parts.quarantine.merge(entry)) return false;
-      const isHeld = isQuarantined(entry);
-      if (isHeld !== wasHeld) this.#log(isHeld ? 'held' : 'freed', entry, host);
+      const isNowQuarantined = isQuarantined(entry);
+      if (isNowQuarantined !== wasQuarantined)
+        this.#log(isNowQuarantined ? 'held' : 'freed', entry, host);
       return true;
     });
   }
 
-  /** Entries for a peer. */
+  /** Returns at most `most` entries for a peer; `turn` selects which of the older ones. */
   entriesFor(turn: number, most: number): readonly QuarantineEntry[] {
     return this.parts.quarantine.entriesFor(turn, most);
   }
 
-  /** Forgets what counts for nothing any more. */
+  /** Removes entries that no longer have an effect. */
   expire(): void {
     const { clock, measures, quarantine } = this.parts;
     const nowMs = clock.monotonicMs();
@@ -125,20 +130,20 @@
   }
 
   get #graceMs(): Milliseconds {
-    return Math.min(LAST_PLACE, this.#placeOfHost()) * GRACE_PER_PLACE_MS;
+    return Math.min(MAX_RANK, this.#rankOfHost()) * GRACE_PER_RANK_MS;
   }
 
-  #isHeld(content: string): boolean {
+  #isQuarantined(content: string): boolean {
     const entry = this.parts.quarantine.find(content);
     return entry !== undefined && isQuarantined(entry);
   }
 
-  #change(change: 'held' | 'freed' | 'trial', entry: QuarantineEntry): void {
+  #publish(change: 'held' | 'freed' | 'trial', entry: QuarantineEntry): void {
     this.#log(change, entry, this.parts.host);
     this.#onChange(entry);
   }
 
-  #log(change: 'held' | 'freed' | 'trial', entry: QuarantineEntry, toldBy: string): void {
+  #log(change: 'held' | 'freed' | 'trial', entry: QuarantineEntry, reportedBy: string): void {
     const { clock, log, measures } = this.parts;
     const nowMs = clock.monotonicMs();
     measures.count('poppypond_quarantine_changes_total', { change });
@@ -148,8 +153,8 @@
       ends: entry.ends,
       round: entry.round,
       for_ms: Math.max(0, Math.round(entry.quarantinedUntilMs - nowMs)),
-      ended: describeEnds(entry, nowMs) || undefined,
-      told_by: toldBy,
+      ended: describeTerminations(entry, nowMs) || undefined,
+      told_by: reportedBy,
       age_ms: Math.round(nowMs - entry.changedAtMs),
     });
   }
--- a/packages/relay/src/request/attempt-ends.ts
+++ b/packages/relay/src/request/attempt-ends.ts
@@ -1,149 +1,159 @@
 import type { Milliseconds } from '@poppypond/core';
 import type { AttemptFailure, BackendServer, FollowedRequest } from '@poppypond/fleet';
-import type { AttemptEnd } from '../backend/server-attempt.js';
+import type { AttemptOutcome } from '../backend/server-attempt.js';
 import type { ResponseHead } from '../ports.js';
-import type { RunEnds } from '../quarantine/run-ends.js';
-import type { AttemptTally } from './attempt-tally.js';
-import type { CallerAnswer } from './caller-answer.js';
-import { findReader } from './choice.js';
+import type { TerminationDetector } from '../quarantine/run-ends.js';
+import type { AttemptHistory } from './attempt-history.js';
+import type { CallerResponse } from './caller-response.js';
+import { findPrefillEngine } from './choice.js';
 import type { Choice } from './choice.js';
-import { firstPatienceMs } from './patience.js';
+import { firstEventTimeoutMs } from './patience.js';
 import type { RelayParts } from './relay-parts.js';
-import type { RequestRecord } from './request-record.js';
-import type { RunAnswer } from './run-answer.js';
+import type { RequestTelemetry } from './request-telemetry.js';
+import type { FinalResponse } from './run-answer.js';
 
-const SERVER_ERROR_FROM = 500;
-/** Engines have no errors of an application; plain services do. */
-const INTERNAL_ERROR = 500;
+const MIN_SERVER_ERROR_STATUS = 500;
+/** A 500 of an engine means that the engine failed; a plain service may return it for an application error. */
+const INTERNAL_SERVER_ERROR = 500;
 const MISDIRECTED = 421;
-/** Statuses that promise that nothing was run; only a server's own mark makes that true. */
-const PROMISE_STATUSES: ReadonlySet<number> = new Set([408, MISDIRECTED, 429, 503]);
+/** Statuses that by convention mean that nothing was run; only the server's own header confirms it. */
+const UNPROCESSED_STATUSES: ReadonlySet<number> = new Set([408, MISDIRECTED, 429, 503]);
 
-/** Why an attempt was given up by this host. */
-export interface GivenUp {
-  /** Whether another follows. */
-  readonly isPassedOver: boolean;
-  /** Why the request ends with it; undefined where it doesn't. */
-  readonly lostBecause: string | undefined;
-  /** How long its server had said nothing. */
+/** Why this host abandoned an attempt. */
+export interface Abandonment {
+  /** Whether another attempt follows. */
+  readonly isRetried: boolean;
+  /** Why the request fails with this attempt; undefined if it does not. */
+  readonly failureReason: string | undefined;
+  /** How long its server had sent nothing. */
   readonly silentMs: Milliseconds;
 }
 
-/** What the ends of attempts are weighed with. */
-export interface AttemptEndsParts {
+/** Dependencies of `AttemptOutcomeHandler`. */
+export interface AttemptOutcomeHandlerParts {
   readonly relay: Pick<RelayParts, 'clock' | 'peers' | 'recentRejections'>;
-  readonly answer: CallerAnswer;
-  readonly runAnswer: RunAnswer;
-  readonly record: RequestRecord;
-  readonly tally: AttemptTally;
+  readonly answer: CallerResponse;
+  readonly finalResponse: FinalResponse;
+  readonly telemetry: RequestTelemetry;
+  readonly history: AttemptHistory;
   readonly followed: FollowedRequest;
-  readonly ends: RunEnds;
-  /** The time that the request had at its coming. */
-  readonly limitMs: Milliseconds;
+  readonly ends: TerminationDetector;
+  /** Time limit of the request, from its arrival. */
+  readonly timeoutMs: Milliseconds;
 }
 
-/** Decides after each attempt whether another follows, and answers the caller where none does. */
-export class AttemptEnds {
-  constructor(readonly parts: AttemptEndsParts) {}
+/** Decides after each attempt whether another follows, and sends the response if none does. */
+export class AttemptOutcomeHandler {
+  constructor(readonly parts: AttemptOutcomeHandlerParts) {}
 
-  /** Takes in the end of an attempt; true when the answer is over. */
-  async finishWith(end: AttemptEnd, choice: Choice, givenUp: GivenUp): Promise<boolean> {
-    if (end.kind === 'whole') return this.#finishWhole(end.head, end.body, choice);
-    if (end.kind === 'cancelled') return this.#finishCancelled(choice, givenUp);
+  /** Handles the outcome of an attempt; returns true if the response is finished. */
+  async handle(end: AttemptOutcome, choice: Choice, abandonment: Abandonment): Promise<boolean> {
+    if (end.kind === 'whole') return this.#handleResponse(end.head, end.body, choice);
+    if (end.kind === 'cancelled') return this.#handleCancelled(choice, abandonment);
     if (end.kind === 'events_done') {
       this.#onServed();
-      this.parts.runAnswer.finishEvents(end.head);
+      this.parts.finalResponse.finishEvents(end.head);
       return true;
     }
     this.suspect(choice.server, end.detail);
-    // Before a retry: the next server would end too, and its end would not count after this one.
+    // The check precedes the retry: a termination of the next server counts as a further one only if this one is
+    // known when the retry begins.
     if (end.kind === 'broken') {
-      await this.parts.ends.askAfter(choice.attemptId, choice.server, end.detail);
+      await this.parts.ends.probe(choice.attemptId, choice.server, end.detail);
     }
     const failure = end.kind === 'not_sent' ? 'not_sent' : 'unknown';
-    return this.#finishFailed(failure, choice, end.detail);
+    return this.#handleFailure(failure, choice, end.detail);
   }
 
-  /** Has all hosts avoid a server that failed. */
+  /** Reports a failed server to all hosts, which avoid it for a while. */
   suspect(server: BackendServer, why: string): void {
-    const { record, relay } = this.parts;
+    const { telemetry, relay } = this.parts;
     const forMs = relay.peers.suspect(server.id, server.service);
-    record.serverSuspect(server, why, forMs);
+    telemetry.serverSuspected(server, why, forMs);
   }
 
   #onServed(): void {
-    this.parts.tally.onAnswered();
+    this.parts.history.onAnswered();
     this.parts.followed.onServed();
   }
 
-  #finishCancelled({ attemptId, server, plan }: Choice, givenUp: GivenUp): boolean {
-    const { answer, ends, limitMs, runAnswer, tally } = this.parts;
-    tally.onCancelled();
-    if (givenUp.isPassedOver) return false;
-    // A server that has ended in silence is found by nothing else where its request may not be repeated.
-    if (givenUp.silentMs > firstPatienceMs(plan?.stream, limitMs)) {
-      void ends.askAfter(attemptId, server, 'silent to the end');
+  #handleCancelled({ attemptId, server, plan }: Choice, abandonment: Abandonment): boolean {
+    const { answer, ends, timeoutMs, finalResponse, history } = this.parts;
+    history.onCancelled();
+    if (abandonment.isRetried) return false;
+    // Nothing else detects a server that died without closing its connection if the request may not be retried.
+    if (abandonment.silentMs > firstEventTimeoutMs(plan?.stream, timeoutMs)) {
+      void ends.probe(attemptId, server, 'sent nothing until the attempt ended');
     }
-    if (givenUp.lostBecause !== undefined && !answer.isGone) runAnswer.giveUp(givenUp.lostBecause);
-    else runAnswer.finishOver();
+    if (abandonment.failureReason !== undefined && !answer.isDisconnected)
+      finalResponse.giveUp(abandonment.failureReason);
+    else finalResponse.finishUnserved();
     return true;
   }
 
-  #finishWhole(head: ResponseHead, body: Buffer, choice: Choice): boolean {
+  #handleResponse(head: ResponseHead, body: Buffer, choice: Choice): boolean {
     const detail = `status ${String(head.status)}`;
     if (head.isNotExecuted) {
-      if (head.status === MISDIRECTED) return this.#finishMisdirected(choice, detail);
-      const isForAnother = this.#blame(head.faultyEngine, choice);
-      if (!isForAnother) this.#noteTurnedAway(choice.server);
-      return this.#finishFailed('not_run', choice, detail);
+      if (head.status === MISDIRECTED) return this.#handleMisdirected(choice, detail);
+      const isOtherAtFault = this.#suspectPrefillEngine(head.faultyEngine, choice);
+      if (!isOtherAtFault) this.#recordRejection(choice.server);
+      return this.#handleFailure('not_run', choice, detail);
     }
-    if (PROMISE_STATUSES.has(head.status)) return this.#finishFailed('unknown', choice, detail);
-    const isServerError = head.status >= SERVER_ERROR_FROM;
-    if (head.status === INTERNAL_ERROR && choice.plan) this.suspect(choice.server, detail);
-    if (isServerError && this.#noteFailure('failed', choice, detail)) return false;
+    if (UNPROCESSED_STATUSES.has(head.status))
+      return this.#handleFailure('unknown', choice, detail);
+    const isServerError = head.status >= MIN_SERVER_ERROR_STATUS;
+    if (head.status === INTERNAL_SERVER_ERROR && choice.plan) this.suspect(choice.server, detail);
+    if (isServerError && this.#recordFailure('failed', choice, detail)) return false;
     if (!isServerError) this.#onServed();
-    this.parts.runAnswer.finishWhole(head, body, isServerError ? 'backend_error' : 'ok');
+    this.parts.finalResponse.finishResponse(head, body, isServerError ? 'backend_error' : 'ok');
     return true;
   }
 
   /**
-   * Another server has the address, so the one that was meant is gone: whoever chooses among the
-   * servers of its service is told, as its entry may stay listed for seconds.
+   * Another server has the address, so the intended one is gone. All hosts that choose among the servers of its
+   * service are notified, as its entry may stay listed for seconds.
    */
-  #finishMisdirected(choice: Choice, detail: string): boolean {
+  #handleMisdirected(choice: Choice, detail: string): boolean {
     this.parts.relay.peers.broadcastServerGone(choice.server);
-    return this.#finishFailed('misdirected', choice, detail);
+    return this.#handleFailure('misdirected', choice, detail);
   }
 
-  #noteTurnedAway({ id }: BackendServer): void {
-    const { clock, recentRejections: turnedAway } = this.parts.relay;
-    turnedAway.record(id, clock.monotonicMs());
+  #recordRejection({ id }: BackendServer): void {
+    const { clock, recentRejections } = this.parts.relay;
+    recentRejections.record(id, clock.monotonicMs());
   }
 
-  /** Avoids the engine for want of which the chosen one could not serve; false where it is none but that one. */
-  #blame(faultyEngine: string | undefined, choice: Choice): boolean {
-    const blamed = findReader(choice, faultyEngine);
-    if (!blamed) return false;
-    this.suspect(blamed, 'it failed a prompt that it helped to read');
-    void this.parts.ends.askAfter(choice.attemptId, blamed, 'it read a part');
+  /**
+   * Suspects the prefill engine whose fault made the chosen engine fail; returns false if `faultyEngine` names no
+   * prefill engine of the attempt.
+   */
+  #suspectPrefillEngine(faultyEngine: string | undefined, choice: Choice): boolean {
+    const prefillEngine = findPrefillEngine(choice, faultyEngine);
+    if (!prefillEngine) return false;
+    this.suspect(prefillEngine, 'failed to prefill its part of a prompt');
+    void this.parts.ends.probe(
+      choice.attemptId,
+      prefillEngine,
+      'prefilled a part of a failed prompt',
+    );
     return true;
   }
 
-  #finishFailed(failure: AttemptFailure, choice: Choice, detail: string): boolean {
-    const { answer, runAnswer } = this.parts;
-    if (answer.isGone) {
-      runAnswer.finishOver();
+  #handleFailure(failure: AttemptFailure, choice: Choice, detail: string): boolean {
+    const { answer, finalResponse } = this.parts;
+    if (answer.isDisconnected) {
+      finalResponse.finishUnserved();
       return true;
     }
-    if (this.#noteFailure(failure, choice, detail)) return false;
-    runAnswer.giveUp(detail);
+    if (this.#recordFailure(failure, choice, detail)) return false;
+    finalResponse.giveUp(detail);
     return true;
   }
 
-  /** Counts and logs a failed attempt; true where another follows. */
-  #noteFailure(failure: AttemptFailure, { server }: Choice, detail: string): boolean {
-    const again = this.parts.tally.onFailed(server.id, failure);
-    this.parts.record.attemptFailed(server, failure, detail, again);
+  /** Counts and logs a failed attempt; returns true if another follows. */
+  #recordFailure(failure: AttemptFailure, { server }: Choice, detail: string): boolean {
+    const again = this.parts.history.onFailed(server.id, failure);
+    this.parts.telemetry.attemptFailed(server, failure, detail, again);
     return again;
   }
 }
--- a/packages/relay/src/request/attempt-watch.ts
+++ b/packages/relay/src/request/attempt-watch.ts
@@ -4,76 +4,76 @@
 import type { EngineMemory } from '../ports.js';
 import type { ServerList } from '../store/server-list.js';
 import type { Choice } from './choice.js';
-import { ReadWatch } from './read-watch.js';
+import { PrefillWatch } from './read-watch.js';
 import { SilenceWatch } from './silence-watch.js';
 
-/** What the watch needs. */
+/** Dependencies of `AttemptWatch`. */
 export interface AttemptWatchParts {
   readonly clock: Clock;
   readonly memory: EngineMemory;
   readonly servers: ServerList;
   readonly route: Route;
-  /** Whether another server may be tried, so that silence and dead readers are looked for. */
+  /** Whether another server may be tried; if not, silence and dead prefill engines are not monitored. */
   readonly mayRepeat: boolean;
-  /** A server that the attempt needs is silent or dead, and why that is believed. */
-  readonly onDead: (server: BackendServer, why: string) => void;
-  /** A server that the attempt needs has started again, and knows nothing of it. */
-  readonly onLifeOver: (server: BackendServer) => void;
+  /** Called when a server that the attempt depends on is silent or dead, with the reason. */
+  readonly onUnresponsive: (server: BackendServer, why: string) => void;
+  /** Called when a server that the attempt depends on has restarted and lost its work. */
+  readonly onRestarted: (server: BackendServer) => void;
 }
 
-/** Looks after the servers that one attempt at a time needs. */
+/** Monitors the servers that the current attempt depends on. */
 export class AttemptWatch {
   readonly #silence: SilenceWatch;
-  readonly #reads: ReadWatch;
-  #endLives: () => void = () => undefined;
+  readonly #prefills: PrefillWatch;
+  #stopWatchingRestarts: () => void = () => undefined;
 
   constructor(readonly parts: AttemptWatchParts) {
-    const { clock, memory, route, onDead } = parts;
-    const isAlive = async (server: BackendServer) =>
+    const { clock, memory, route, onUnresponsive } = parts;
+    const isResponsive = async (server: BackendServer) =>
       (await memory.readStatus(server)) !== undefined;
     this.#silence = new SilenceWatch({
       clock,
       route,
-      isAlive,
+      isResponsive,
       onSilent: (server) => {
-        onDead(server, 'silent');
+        onUnresponsive(server, 'silent');
       },
     });
-    this.#reads = new ReadWatch({
+    this.#prefills = new PrefillWatch({
       clock,
-      isAlive,
-      onDead: (server) => {
-        onDead(server, 'it reads a part and gives no answer');
+      isResponsive,
+      onUnresponsive: (server) => {
+        onUnresponsive(server, 'prefills a part and does not answer status queries');
       },
     });
   }
 
-  /** Begins with an attempt that starts now. */
+  /** Starts monitoring an attempt that begins now. */
   begin(choice: Choice, timeLeftMs: Milliseconds): void {
-    const needed = [choice.server, ...choice.readers];
-    const ends = needed.map((server) =>
+    const requiredServers = [choice.server, ...choice.readers];
+    const ends = requiredServers.map((server) =>
       this.parts.servers.watchIncarnation(server, () => {
-        this.parts.onLifeOver(server);
+        this.parts.onRestarted(server);
       }),
     );
-    this.#endLives = () => {
+    this.#stopWatchingRestarts = () => {
       for (const end of ends) end();
     };
     if (!this.parts.mayRepeat) return;
     this.#silence.begin(choice, timeLeftMs);
-    if (choice.readers.length > 0) this.#reads.begin(needed);
+    if (choice.readers.length > 0) this.#prefills.begin(requiredServers);
   }
 
-  /** Events have come: the prompt is read. */
+  /** Records events, which mean that the prefill is done. */
   onEvents(): void {
-    this.#reads.end();
+    this.#prefills.end();
     if (this.parts.mayRepeat) this.#silence.onEvents();
   }
 
-  /** Ends; nothing where nothing is watched. */
+  /** Stops monitoring; does nothing if nothing is monitored. */
   end(): void {
     this.#silence.end();
-    this.#reads.end();
-    this.#endLives();
+    this.#prefills.end();
+    this.#stopWatchingRestarts();
   }
 }
--- a/packages/relay/src/request/choice.ts
+++ b/packages/relay/src/request/choice.ts
@@ -1,85 +1,87 @@
 import type { Milliseconds } from '@poppypond/core';
 import type { BackendServer } from '@poppypond/fleet';
-import type { HeldMemory } from '../backend/held-memory.js';
+import type { MemoryReservation } from '../backend/held-memory.js';
 import type { SendPermit } from '../notices/permit-client.js';
 import type { PlannedStream, PlanRequest } from '../planning/plan-request.js';
 import type { CallerHead, PrefillEngineAddress } from '../ports.js';
-import type { Admitted } from './admit.js';
+import type { AdmittedRequest } from './admit.js';
 import type { RelayParts } from './relay-parts.js';
 
-/** A plan and what it was asked for. */
+/** A plan for a stream, with the request that it answers. */
 export interface StreamPlan {
   readonly request: PlanRequest;
   readonly stream: PlannedStream;
-  /** The host that made it. */
+  /** The host that made the plan. */
   readonly planner: string;
 }
 
-/** A server that is to be tried, and how it was chosen. */
+/** The server that was chosen for an attempt, with its plan, reservation and permit. */
 export interface Choice {
-  /** Names the attempt. */
+  /** Identifies the attempt. */
   readonly attemptId: string;
   readonly server: BackendServer;
-  /** What was planned for and how; undefined for plain services. */
+  /** The plan; undefined for plain services. */
   readonly plan: StreamPlan | undefined;
-  /** Engines that read parts of the prompt, in the order of the plan. */
+  /** Engines that prefill parts of the prompt, in the order of the plan. */
   readonly readers: readonly BackendServer[];
-  /** Memory on other engines; undefined where none is needed. */
-  readonly held: HeldMemory | undefined;
-  /** Places that it was given of servers that name limits; undefined where none was asked for. */
+  /** Reserved memory on other engines; undefined if none is needed. */
+  readonly held: MemoryReservation | undefined;
+  /** Permits for rate-limited servers; undefined if none were requested. */
   readonly permit: SendPermit | undefined;
 }
 
-/** What a choice is made for. */
+/** The request that a server is chosen for, and its state. */
 export interface ChoiceInputs {
   readonly parts: RelayParts;
   readonly caller: CallerHead;
-  readonly admitted: Admitted;
+  readonly admitted: AdmittedRequest;
   readonly arrivedAtMs: Milliseconds;
-  readonly limitAtMs: Milliseconds;
-  /** Since when the caller has heard nothing. */
-  readonly silentSinceMs: () => Milliseconds;
-  /** Servers that failed this request already. */
+  readonly deadlineAtMs: Milliseconds;
+  /** When the caller was last sent something, or the request's arrival. */
+  readonly callerSilentSinceMs: () => Milliseconds;
+  /** Ids of servers that failed this request. */
   readonly failedIds: ReadonlySet<string>;
-  /** Servers that were chosen and that the gate let nothing through to. */
-  readonly heldBackIds: ReadonlySet<string>;
-  /** Names what is asked, whatever try it is; costs a hash of the body. */
+  /** Ids of servers that were chosen and then blocked by the send gate. */
+  readonly blockedIds: ReadonlySet<string>;
+  /** Returns the content id, which is the same for all tries of the request; computes a hash of the body. */
   readonly content: () => string;
-  /** Called when the engine no longer answers for which memory is held elsewhere. */
-  readonly onWriterLost: (writer: BackendServer) => void;
-  /** Whether there is nothing left to choose for. */
-  readonly isOver: () => boolean;
+  /** Called when the decode engine no longer answers status queries while memory is reserved on other engines. */
+  readonly onDecodeEngineLost: (engine: BackendServer) => void;
+  /** Whether the caller has disconnected or the deadline has passed. */
+  readonly isFinished: () => boolean;
 }
 
 /**
- * `refused`: no server can take it, why, and when one may, where that is known. `over`: the caller has
- * left or the time is up.
+ * `refused`: no server can take the request; `why` tells the reason and `retryAfterMs`, if known, when one may.
+ * `over`: the caller has disconnected or the deadline has passed.
  */
-export type Chosen =
+export type ChoiceOutcome =
   | { readonly kind: 'choice'; readonly choice: Choice }
   | { readonly kind: 'refused'; readonly why: string; readonly retryAfterMs?: Milliseconds }
   | { readonly kind: 'over' };
 
-/** `resting`: each server that is listed wants rest, the first for `nextMs` still. */
-export type ChosenAtOnce = Chosen | { readonly kind: 'resting'; readonly nextMs: Milliseconds };
+/** `resting`: all listed servers are in a backoff, the first of which ends in `nextUsableInMs`. */
+export type ImmediateOutcome =
+  ChoiceOutcome | { readonly kind: 'resting'; readonly nextUsableInMs: Milliseconds };
 
 /**
- * Servers that come last for a request: those that failed it or were held back, and for one that was turned away before those that turn
- * requests away lately, where there are others.
+ * Returns the ids of servers that are chosen last for a request: those that failed it or were blocked. Once it has
+ * failed, also those in a ramp-up after a backoff and those that recently rejected requests; if no other usable server
+ * remains, only those that failed it.
  */
-export function lastChoices(inputs: ChoiceInputs): ReadonlySet<string> {
-  const { parts, admitted, failedIds, heldBackIds } = inputs;
-  if (failedIds.size === 0) return heldBackIds;
-  const { clock, gate, recentRejections: turnedAway } = parts;
-  const usable = gate.usable(admitted.service);
-  const doubtful = usable.filter((server) => gate.isDoubtful(server)).map(({ id }) => id);
-  const turned = turnedAway.recentIds(clock.monotonicMs());
-  const all = new Set([...failedIds, ...heldBackIds, ...doubtful, ...turned]);
+export function deprioritizedIds(inputs: ChoiceInputs): ReadonlySet<string> {
+  const { parts, admitted, failedIds, blockedIds } = inputs;
+  if (failedIds.size === 0) return blockedIds;
+  const { clock, gate, recentRejections } = parts;
+  const usable = gate.usableServers(admitted.service);
+  const recovering = usable.filter((server) => gate.isRecovering(server)).map(({ id }) => id);
+  const rejecting = recentRejections.recentIds(clock.monotonicMs());
+  const all = new Set([...failedIds, ...blockedIds, ...recovering, ...rejecting]);
   return usable.every(({ id }) => all.has(id)) ? failedIds : all;
 }
 
-/** The engines that read parts, with the memory that is held there. */
-export function readersOf({ plan, readers, held }: Choice): readonly PrefillEngineAddress[] {
+/** Returns the prefill engines with the memory that is reserved on each. */
+export function prefillEnginesOf({ plan, readers, held }: Choice): readonly PrefillEngineAddress[] {
   const sharing = new Set(plan?.stream.shares.map(({ engineId }) => engineId));
   return readers.map(({ id, address, port }) => {
     const reservation = sharing.has(id) ? held?.id : undefined;
@@ -87,8 +89,11 @@
   });
 }
 
-/** The engine among the readers that `named` means, by id or `ADDRESS:PORT`. */
-export function findReader(
+/**
+ * Returns the prefill engine that `named` identifies by id or `ADDRESS:PORT`; undefined if it is none, or the decode
+ * engine.
+ */
+export function findPrefillEngine(
   { server, readers }: Choice,
   named: string | undefined,
 ): BackendServer | undefined {
--- a/packages/relay/src/request/patience.test.ts
+++ b/packages/relay/src/request/patience.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest';
 import type { PlannedStream } from '../planning/plan-request.js';
-import { busyPatienceMs, firstPatienceMs } from './patience.js';
+import { busyTimeoutMs, firstEventTimeoutMs } from './patience.js';
 
 const ROUTE = {
   name: 'r',
@@ -16,8 +16,8 @@
   priority: 1,
   isAuthExempt: false,
 } as const;
-/** What a caller of `ROUTE` waits in silence: four aims. */
-const SILENCE_MS = 12_000;
+/** Idle timeout of a caller of `ROUTE`: four times its latency target. */
+const CALLER_TIMEOUT_MS = 12_000;
 
 function streamOf(expectedFirstMs: number): PlannedStream {
   return {
@@ -33,17 +33,17 @@
   };
 }
 
-describe('busyPatienceMs', () => {
-  it('leaves time for another engine to read the prompt before the caller leaves', () => {
+describe('busyTimeoutMs', () => {
+  it('leaves time for another engine to prefill the prompt before the caller disconnects', () => {
     for (const expectedMs of [100, 1000, 1900, 4000]) {
       const stream = streamOf(expectedMs);
-      const patienceMs = busyPatienceMs(ROUTE, stream);
-      expect(patienceMs + expectedMs).toBeLessThanOrEqual(SILENCE_MS);
-      expect(patienceMs).toBeGreaterThan(firstPatienceMs(stream, SILENCE_MS));
+      const timeoutMs = busyTimeoutMs(ROUTE, stream);
+      expect(timeoutMs + expectedMs).toBeLessThanOrEqual(CALLER_TIMEOUT_MS);
+      expect(timeoutMs).toBeGreaterThan(firstEventTimeoutMs(stream, CALLER_TIMEOUT_MS));
     }
   });
 
-  it('stays with an engine where no other could be in time', () => {
-    expect(busyPatienceMs(ROUTE, streamOf(6000))).toBeGreaterThan(SILENCE_MS);
+  it('exceeds the idle timeout of the caller if no other engine could respond in time', () => {
+    expect(busyTimeoutMs(ROUTE, streamOf(6000))).toBeGreaterThan(CALLER_TIMEOUT_MS);
   });
 });
--- a/packages/relay/src/request/read-watch.test.ts
+++ b/packages/relay/src/request/read-watch.test.ts
@@ -1,61 +1,68 @@
 import type { BackendServer } from '@poppypond/fleet';
 import { engineServer, ManualClock } from '@poppypond/mocks';
 import { describe, expect, it } from 'vitest';
-import { ReadWatch } from './read-watch.js';
+import { PrefillWatch } from './read-watch.js';
 
-/** A watch of engines of which the test says which answer. */
-function watchOf() {
+/** A watch of three engines; those in `unresponsive` do not answer. */
+function createWatch() {
   const clock = new ManualClock();
-  const dead = new Set<string>();
+  const unresponsive = new Set<string>();
   const found: string[] = [];
-  let asked = 0;
-  const watch = new ReadWatch({
+  let queries = 0;
+  const watch = new PrefillWatch({
     clock,
-    isAlive: ({ id }: BackendServer) => {
-      asked += 1;
-      return Promise.resolve(!dead.has(id));
+    isResponsive: ({ id }: BackendServer) => {
+      queries += 1;
+      return Promise.resolve(!unresponsive.has(id));
     },
-    onDead: ({ id }) => found.push(id),
+    onUnresponsive: ({ id }) => found.push(id),
   });
   const engines = ['i-1', 'i-2', 'i-3'].map(engineServer);
-  return { clock, dead, found, watch, engines, askedCount: () => asked };
+  return {
+    clock,
+    unresponsive,
+    found,
+    watch,
+    engines,
+    queryCount: () => queries,
+  };
 }
 
-describe('ReadWatch', () => {
-  it('finds an engine that has died within 0.8 s, and tells of it once', async () => {
-    const { clock, dead, found, watch, engines } = watchOf();
+describe('PrefillWatch', () => {
+  it('detects an engine that has died within 0.8 s, and reports it once', async () => {
+    const { clock, unresponsive, found, watch, engines } = createWatch();
     watch.begin(engines);
     await clock.advance(1000);
     expect(found).toEqual([]);
-    dead.add('i-2');
+    unresponsive.add('i-2');
     await clock.advance(800);
     expect(found).toEqual(['i-2']);
-    dead.add('i-3');
+    unresponsive.add('i-3');
     await clock.advance(2000);
     expect(found).toEqual(['i-2']);
   });
 
-  it('forgives one question without an answer', async () => {
-    const { clock, found, engines } = watchOf();
-    let questions = 0;
-    const watch = new ReadWatch({
+  it('tolerates one unanswered query', async () => {
+    const { clock, found, engines } = createWatch();
+    let queries = 0;
+    const watch = new PrefillWatch({
       clock,
-      isAlive: () => Promise.resolve((questions += 1) % 2 === 0),
-      onDead: ({ id }) => found.push(id),
+      isResponsive: () => Promise.resolve((queries += 1) % 2 === 0),
+      onUnresponsive: ({ id }) => found.push(id),
     });
     watch.begin(engines.slice(0, 1));
     await clock.advance(4000);
     expect(found).toEqual([]);
   });
 
-  it('asks nobody about reads that are over before the first question, nor after its end', async () => {
-    const { clock, dead, found, watch, engines, askedCount } = watchOf();
+  it('sends no query for a prefill that ends before the first one is due, nor after its end', async () => {
+    const { clock, unresponsive, found, watch, engines, queryCount } = createWatch();
     watch.begin(engines);
     await clock.advance(700);
     watch.end();
-    dead.add('i-1');
+    unresponsive.add('i-1');
     await clock.advance(2000);
-    expect(askedCount()).toBe(0);
+    expect(queryCount()).toBe(0);
     expect(found).toEqual([]);
   });
 });
--- a/packages/relay/src/request/read-watch.ts
+++ b/packages/relay/src/request/read-watch.ts
@@ -2,53 +2,56 @@
 import type { BackendServer } from '@poppypond/fleet';
 
 /**
- * Pause between questions to the engines that read a long prompt. An engine that depends on a dead
- * one stands still for 1.5 s before it says so, which is more than a third of the aim of the longest
- * prompts. With 400 ms a day of long prompts had 1,550 questions more, each on a connection of its
- * own, which cost 0.003 of the worth of a day.
+ * Period of the status queries to the engines that prefill a long prompt. An engine that depends on a dead one stalls
+ * for 1.5 s before it reports that, which is more than a third of the latency target of the longest prompts. A period
+ * of 400 ms sends 1,550 queries more in a day of long prompts, each on a connection of its own, which costs 0.003 of
+ * the value of a day.
  */
-const ASK_PERIOD_MS: Milliseconds = 800;
-/** An engine counts as dead when it gives no answer so many times, one right after the other. */
-const QUESTIONS_BEFORE_DEAD = 2;
+const QUERY_PERIOD_MS: Milliseconds = 800;
+/** An engine counts as dead after this number of unanswered queries in a row, sent one right after the other. */
+const MAX_UNANSWERED_QUERIES = 2;
 
-/** What the watch needs. */
-export interface ReadWatchParts {
+/** Dependencies of `PrefillWatch`. */
+export interface PrefillWatchParts {
   readonly clock: Clock;
-  /** Whether a server answers a question for its state. */
-  readonly isAlive: (server: BackendServer) => Promise<boolean>;
-  /** An engine that reads a part of the prompt is dead; called once at most for one attempt. */
-  readonly onDead: (server: BackendServer) => void;
+  /** Whether a server answers a status query. */
+  readonly isResponsive: (server: BackendServer) => Promise<boolean>;
+  /** Called at most once for each attempt, when an engine that prefills a part of the prompt is dead. */
+  readonly onUnresponsive: (server: BackendServer) => void;
 }
 
-/** Asks the engines that read one long prompt together whether they live, until its first event. */
-export class ReadWatch {
-  /** Changes with each attempt that is watched, so that late answers for another count for nothing. */
-  #watched: readonly BackendServer[] = [];
+/** Sends status queries to the engines that prefill one long prompt together, until its first event. */
+export class PrefillWatch {
+  /** Replaced for each monitored attempt, so that late answers for an earlier attempt are ignored. */
+  #monitored: readonly BackendServer[] = [];
   #cancel: CancelTimer = () => undefined;
 
-  constructor(readonly parts: ReadWatchParts) {}
+  constructor(readonly parts: PrefillWatchParts) {}
 
-  /** Begins with an attempt that starts now, in place of any other. Short reads end unasked. */
+  /**
+   * Starts monitoring an attempt that begins now, in place of any other. A prefill shorter than the period is never
+   * queried.
+   */
   begin(engines: readonly BackendServer[]): void {
     this.end();
-    this.#watched = engines;
-    this.#cancel = this.parts.clock.every(ASK_PERIOD_MS, () => {
-      for (const engine of engines) void this.#ask(engine, engines);
+    this.#monitored = engines;
+    this.#cancel = this.parts.clock.every(QUERY_PERIOD_MS, () => {
+      for (const engine of engines) void this.#query(engine, engines);
     });
   }
 
-  /** Ends; nothing where nothing is watched. */
+  /** Stops monitoring; does nothing if nothing is monitored. */
   end(): void {
     this.#cancel();
-    this.#watched = [];
+    this.#monitored = [];
   }
 
-  async #ask(engine: BackendServer, watched: readonly BackendServer[]): Promise<void> {
-    for (let asked = 0; asked < QUESTIONS_BEFORE_DEAD; asked += 1) {
-      if (await this.parts.isAlive(engine)) return;
-      if (this.#watched !== watched) return;
+  async #query(engine: BackendServer, monitored: readonly BackendServer[]): Promise<void> {
+    for (let unanswered = 0; unanswered < MAX_UNANSWERED_QUERIES; unanswered += 1) {
+      if (await this.parts.isResponsive(engine)) return;
+      if (this.#monitored !== monitored) return;
     }
     this.end();
-    this.parts.onDead(engine);
+    this.parts.onUnresponsive(engine);
   }
 }
--- a/packages/relay/src/request/relay-run.ts
+++ b/packages/relay/src/request/relay-run.ts
@@ -5,27 +5,27 @@
 import type { Route } from '@poppypond/routing';
 import type { EventFrame } from '../backend/event-frames.js';
 import { ServerAttempt } from '../backend/server-attempt.js';
-import type { AttemptEnd } from '../backend/server-attempt.js';
+import type { AttemptOutcome } from '../backend/server-attempt.js';
 import { DEADLINE_SLACK_MS } from '../planning/planned-use.js';
 import type { ResponseHead, CallerHead } from '../ports.js';
 import { contentOf } from '../quarantine/request-content.js';
-import { RunEnds } from '../quarantine/run-ends.js';
-import { describeEnds } from '../quarantine/shared-quarantine.js';
-import type { Admitted } from './admit.js';
-import { AnswerEvents } from './answer-events.js';
-import { AttemptTally } from './attempt-tally.js';
-import { AttemptEnds } from './attempt-ends.js';
+import { TerminationDetector } from '../quarantine/run-ends.js';
+import { describeTerminations } from '../quarantine/shared-quarantine.js';
+import type { AdmittedRequest } from './admit.js';
+import { ResponseEvents } from './answer-events.js';
+import { AttemptHistory } from './attempt-history.js';
+import { AttemptOutcomeHandler } from './attempt-ends.js';
 import { useOf } from './attempt-use.js';
 import { AttemptWatch } from './attempt-watch.js';
-import type { CallerAnswer } from './caller-answer.js';
-import { readersOf } from './choice.js';
+import type { CallerResponse } from './caller-response.js';
+import { prefillEnginesOf } from './choice.js';
 import type { Choice } from './choice.js';
-import { choose } from './choose-server.js';
+import { chooseServer } from './choose-server.js';
 import type { RelayParts } from './relay-parts.js';
-import { RequestRecord } from './request-record.js';
-import { RunAnswer } from './run-answer.js';
+import { RequestTelemetry } from './request-telemetry.js';
+import { FinalResponse } from './run-answer.js';
 
-/** What is known while one attempt runs. */
+/** State of the current attempt. */
 interface RunningAttempt {
   readonly id: string;
   readonly choice: Choice;
@@ -34,102 +34,102 @@
   hasEvents: boolean;
 }
 
-/** Pause before another server is chosen where the gate let none of the chosen ones through. */
-const CHOOSE_AGAIN_MS: Milliseconds = 10;
+/** Delay before another server is chosen after the send gate blocked a choice. */
+const RECHOOSE_DELAY_MS: Milliseconds = 10;
 
-/** The life of one admitted request: attempts, their order, and the one answer. */
-export class RelayRun {
+/** Executes one admitted request: chooses servers, runs attempts and sends one response. */
+export class RequestExecution {
   readonly #route: Route;
-  readonly #limitAtMs: Milliseconds;
-  readonly #record: RequestRecord;
-  readonly #tally: AttemptTally;
-  readonly #events: AnswerEvents;
+  readonly #deadlineAtMs: Milliseconds;
+  readonly #telemetry: RequestTelemetry;
+  readonly #history: AttemptHistory;
+  readonly #events: ResponseEvents;
   readonly #watch: AttemptWatch;
-  /** What is known of servers that ended under it, and how that is found out. */
+  /** Quarantine state of the request; `#terminations` detects servers that terminate while running it. */
   readonly #followed: FollowedRequest;
-  readonly #ends: RunEnds;
-  readonly #runAnswer: RunAnswer;
-  readonly #attemptEnds: AttemptEnds;
-  /** The last event that the caller was sent, or else the request's coming. */
+  readonly #terminations: TerminationDetector;
+  readonly #finalResponse: FinalResponse;
+  readonly #outcomeHandler: AttemptOutcomeHandler;
+  /** When the caller was sent its last event; before the first, when the request arrived. */
   #lastEventAtMs: Milliseconds;
-  /** When the last attempt began. */
+  /** When the last attempt started. */
   #attemptAtMs: Milliseconds = 0;
   #current: RunningAttempt | undefined;
-  readonly #heldBackIds = new Set<string>();
-  /** Whether the current attempt was given up and another follows. */
-  #isPassedOver = false;
-  /** Why the request ends with the current attempt, which was given up; undefined where it doesn't. */
-  #lostBecause: string | undefined;
-  #isTimeUp = false;
+  readonly #blockedIds = new Set<string>();
+  /** Whether the current attempt was abandoned and another follows. */
+  #isRetried = false;
+  /** Why the request fails with the current attempt, which was abandoned; undefined if it does not. */
+  #failureReason: string | undefined;
+  #hasTimedOut = false;
 
   constructor(
     readonly parts: RelayParts,
     readonly caller: CallerHead,
-    readonly admitted: Admitted,
+    readonly admitted: AdmittedRequest,
     readonly body: Buffer,
-    readonly answer: CallerAnswer,
+    readonly answer: CallerResponse,
     readonly arrivedAtMs: Milliseconds,
   ) {
     this.#route = admitted.route;
-    this.#record = new RequestRecord(parts, caller, admitted, arrivedAtMs);
-    this.#tally = new AttemptTally({
+    this.#telemetry = new RequestTelemetry(parts, caller, admitted, arrivedAtMs);
+    this.#history = new AttemptHistory({
       route: this.#route,
-      record: this.#record,
+      telemetry: this.#telemetry,
       leftMs: () => this.#leftMs(),
       isQuarantined: () => this.#followed.checkHold() !== undefined,
       takeRetry: () => parts.budget.tryTake(admitted.service),
     });
-    const waitsMs = Math.min(caller.timeoutMs ?? Number.POSITIVE_INFINITY, this.#route.timeoutMs);
-    this.#limitAtMs = arrivedAtMs + waitsMs;
-    this.#events = new AnswerEvents(answer, caller.lastEventId);
+    const timeoutMs = Math.min(caller.timeoutMs ?? Number.POSITIVE_INFINITY, this.#route.timeoutMs);
+    this.#deadlineAtMs = arrivedAtMs + timeoutMs;
+    this.#events = new ResponseEvents(answer, caller.lastEventId);
     this.#lastEventAtMs = arrivedAtMs;
     const { clock, memory, servers, quarantine } = parts;
-    const onFound = this.#record.serverFound.bind(this.#record);
+    const onProbed = this.#telemetry.serverProbed.bind(this.#telemetry);
     const content = contentOf(caller, admitted.workspace, body);
     this.#followed = new FollowedRequest(quarantine, content);
-    this.#ends = new RunEnds({ clock, servers, onFound }, this.#followed);
-    this.#runAnswer = new RunAnswer({
+    this.#terminations = new TerminationDetector({ clock, servers, onProbed }, this.#followed);
+    this.#finalResponse = new FinalResponse({
       answer,
-      record: this.#record,
-      tally: this.#tally,
+      telemetry: this.#telemetry,
+      history: this.#history,
       events: this.#events,
-      isTimeUp: () => this.#isTimeUp,
-      comeBackMs: () => this.#comeBackMs(),
+      hasTimedOut: () => this.#hasTimedOut,
+      retryDelayMs: () => this.#retryDelayMs(),
     });
-    this.#attemptEnds = new AttemptEnds({
+    this.#outcomeHandler = new AttemptOutcomeHandler({
       relay: parts,
       answer,
-      runAnswer: this.#runAnswer,
-      record: this.#record,
-      tally: this.#tally,
+      finalResponse: this.#finalResponse,
+      telemetry: this.#telemetry,
+      history: this.#history,
       followed: this.#followed,
-      ends: this.#ends,
-      limitMs: waitsMs,
+      ends: this.#terminations,
+      timeoutMs,
     });
     this.#watch = new AttemptWatch({
       clock,
       memory,
       servers,
       route: this.#route,
-      mayRepeat: this.#tally.mayRepeat,
-      onDead: (server, why) => {
-        this.#passOver(server, why);
+      mayRepeat: this.#history.mayRepeat,
+      onUnresponsive: (server, why) => {
+        this.#abandonFor(server, why);
       },
-      onLifeOver: (server) => {
-        this.#onLifeOver(server);
+      onRestarted: (server) => {
+        this.#onServerRestarted(server);
       },
     });
   }
 
-  /** Serves the request; resolves when its answer is over. */
+  /** Serves the request; resolves when its response is finished. */
   async run(): Promise<void> {
     const { clock, budget } = this.parts;
     budget.onRequest(this.admitted.service);
-    const cancelLimit = clock.after(this.#leftMs() + DEADLINE_SLACK_MS, () => {
-      this.#isTimeUp = true;
+    const cancelTimeout = clock.after(this.#leftMs() + DEADLINE_SLACK_MS, () => {
+      this.#hasTimedOut = true;
       this.#current?.attempt.cancel();
     });
-    this.answer.onGone(() => {
+    this.answer.onDisconnect(() => {
       this.#current?.attempt.cancel();
     });
     this.answer.onDrain(() => {
@@ -138,7 +138,7 @@
     try {
       await this.#tryServers();
     } finally {
-      cancelLimit();
+      cancelTimeout();
       this.#watch.end();
     }
   }
@@ -150,79 +150,84 @@
       caller,
       admitted,
       arrivedAtMs,
-      limitAtMs: this.#limitAtMs,
-      silentSinceMs: () => this.#lastEventAtMs,
-      failedIds: this.#tally.failedIds,
-      heldBackIds: this.#heldBackIds,
+      deadlineAtMs: this.#deadlineAtMs,
+      callerSilentSinceMs: () => this.#lastEventAtMs,
+      failedIds: this.#history.failedIds,
+      blockedIds: this.#blockedIds,
       content: () => this.#followed.content,
-      isOver: () => this.#isOver(),
-      onWriterLost: (writer: BackendServer) => {
-        this.#passOver(writer, 'no answer to a question for its state');
+      isFinished: () => this.#isFinished(),
+      onDecodeEngineLost: (engine: BackendServer) => {
+        this.#abandonFor(engine, 'no answer to a status query');
       },
     };
     for (;;) {
       if (this.#refuseQuarantined()) return;
-      const chosen = await choose(inputs);
-      if (chosen.kind === 'over') return this.#runAnswer.finishOver();
-      if (chosen.kind === 'refused') return this.#runAnswer.giveUp(chosen.why, chosen.retryAfterMs);
-      // Word of servers that ended may have come while it waited for a place.
-      if (this.#refuseQuarantined()) return this.#leave(chosen.choice);
-      if (this.#isHeldBack(chosen.choice)) {
-        await delay(parts.clock, CHOOSE_AGAIN_MS);
+      const outcome = await chooseServer(inputs);
+      if (outcome.kind === 'over') return this.#finalResponse.finishUnserved();
+      if (outcome.kind === 'refused')
+        return this.#finalResponse.giveUp(outcome.why, outcome.retryAfterMs);
+      // The request may have been quarantined while it waited for a slot.
+      if (this.#refuseQuarantined()) return this.#releaseChoice(outcome.choice);
+      if (this.#isBlocked(outcome.choice)) {
+        await delay(parts.clock, RECHOOSE_DELAY_MS);
         continue;
       }
-      const end = await this.#attempt(chosen.choice);
-      if (await this.#finishWith(end, chosen.choice)) return;
+      const end = await this.#attempt(outcome.choice);
+      if (await this.#handleOutcome(end, outcome.choice)) return;
     }
   }
 
-  /** Whether a server of the choice, which is left then, has said meanwhile that it wants nothing. */
-  #isHeldBack(choice: Choice): boolean {
-    const block = this.parts.gate.tryTake(choice);
+  /** Whether the send gate blocks the choice because of a notice received meanwhile; the choice is then released. */
+  #isBlocked(choice: Choice): boolean {
+    const block = this.parts.gate.admitAttempt(choice);
     if (!block) return false;
-    this.#record.heldBack(block.id, block.why);
-    this.#heldBackIds.add(block.id);
-    this.#leave(choice);
+    this.#telemetry.sendBlocked(block.id, block.why);
+    this.#blockedIds.add(block.id);
+    this.#releaseChoice(choice);
     return true;
   }
 
-  /** When a caller may come back where no server of the service may be sent anything now. */
-  #comeBackMs(): Milliseconds | undefined {
+  /** Retry delay if no server of the service may be sent anything now; undefined if one may, or none is listed. */
+  #retryDelayMs(): Milliseconds | undefined {
     const { gate } = this.parts;
-    const nextMs = gate.nextMs(this.admitted.service);
-    return nextMs ? gate.comeBackMs(nextMs) : undefined;
+    const nextUsableInMs = gate.nextUsableInMs(this.admitted.service);
+    return nextUsableInMs ? gate.callerRetryDelayMs(nextUsableInMs) : undefined;
   }
 
-  /** Gives the place up that a choice took, unused. */
-  #leave({ attemptId, held }: Choice): void {
+  /** Releases the slot and the memory of a choice that is not used. */
+  #releaseChoice({ attemptId, held }: Choice): void {
     this.parts.peers.end(attemptId, this.#engineService);
     void held?.release();
   }
 
   /**
-   * Answers at once a request under which servers have ended, whoever sent it and however often: it would end
-   * the next one too, and with it all that runs there. True where it did.
+   * Refuses a quarantined request, whoever sent it and however often: it would terminate the next server too, and
+   * with it all requests that run there. Returns true if the request was refused.
    */
   #refuseQuarantined(): boolean {
     const held = this.#followed.checkHold();
     if (!held) return false;
-    const ended = describeEnds(held.entry, this.parts.clock.monotonicMs());
-    this.#runAnswer.giveUp(`servers ended under it: ${ended}`, held.forMs, 'quarantined');
+    const ended = describeTerminations(held.entry, this.parts.clock.monotonicMs());
+    this.#finalResponse.giveUp(
+      `servers terminated while running the request: ${ended}`,
+      held.forMs,
+      'quarantined',
+    );
     return true;
   }
 
   #leftMs(): Milliseconds {
-    return this.#limitAtMs - this.parts.clock.monotonicMs();
+    return this.#deadlineAtMs - this.parts.clock.monotonicMs();
   }
 
-  #isOver(): boolean {
-    return this.answer.isGone || this.#isTimeUp || this.#leftMs() <= 0;
+  #isFinished(): boolean {
+    return this.answer.isDisconnected || this.#hasTimedOut || this.#leftMs() <= 0;
   }
 
-  async #attempt(choice: Choice): Promise<AttemptEnd> {
+  async #attempt(choice: Choice): Promise<AttemptOutcome> {
     const id = choice.attemptId;
     const timeLeftMs = Math.max(1, Math.floor(this.#leftMs()));
-    this.#record.placed(id, choice.server, choice.plan, timeLeftMs);
+    this.#telemetry.placed(id, choice.server, choice.plan, timeLeftMs);
     this.#followed.begin(id);
     this.#announce(choice);
     const attempt = this.#open(choice, timeLeftMs);
@@ -233,24 +238,24 @@
     const end = await attempt.done;
     this.#current = undefined;
     this.#watch.end();
-    this.parts.gate.onOver(choice.server, id);
+    this.parts.gate.onAttemptEnd(choice.server, id);
     this.parts.peers.end(id, this.#engineService);
     void choice.held?.release();
-    this.#record.attemptEnded(end.kind);
+    this.#telemetry.attemptEnded(end.kind);
     return end;
   }
 
-  /** Takes in the end of an attempt; true when the answer is over. */
-  #finishWith(end: AttemptEnd, choice: Choice): Promise<boolean> {
+  /** Handles the outcome of an attempt; returns true if the response is finished. */
+  #handleOutcome(end: AttemptOutcome, choice: Choice): Promise<boolean> {
     const silentSinceMs = Math.max(this.#attemptAtMs, this.#lastEventAtMs);
     const silentMs = this.parts.clock.monotonicMs() - silentSinceMs;
-    const givenUp = {
-      isPassedOver: this.#isPassedOver,
-      lostBecause: this.#lostBecause,
+    const abandonment = {
+      isRetried: this.#isRetried,
+      failureReason: this.#failureReason,
       silentMs,
     };
-    if (end.kind === 'cancelled') this.#isPassedOver = false;
-    return this.#attemptEnds.finishWith(end, choice, givenUp);
+    if (end.kind === 'cancelled') this.#isRetried = false;
+    return this.#outcomeHandler.handle(end, choice, abandonment);
   }
 
   #open(choice: Choice, timeLeftMs: Milliseconds): ServerAttempt {
@@ -263,7 +268,7 @@
       workspace: this.admitted.workspace,
       priority: this.admitted.figures && this.admitted.priority,
       lastEventId: this.#events.lastId,
-      readers: readersOf(choice),
+      readers: prefillEnginesOf(choice),
       bodyLength: body.length,
     });
     const { method, path, requestId } = caller;
@@ -273,10 +278,10 @@
       { server, method, path, headers, body, requestId, wantsEvents },
       {
         clock,
-        readAnswer: (message) => wire.parseResponseHead(message),
-        onHead: ({ word, isNotExecuted: isNotRun }) => {
+        parseResponseHead: (message) => wire.parseResponseHead(message),
+        onHead: ({ word, isNotExecuted }) => {
           this.parts.notices.recordNotice(server, word, askedAtMs);
-          if (word.backoffMs === undefined && !isNotRun)
+          if (word.backoffMs === undefined && !isNotExecuted)
             this.parts.gate.onAnswered(server, choice.attemptId);
         },
         onFrames: (frames, head) => this.#onFrames(frames, head),
@@ -286,48 +291,47 @@
 
   #announce(choice: Choice): void {
     const { clock, host, peers } = this.parts;
-    const use = useOf(choice, host, clock.monotonicMs(), this.#limitAtMs);
+    const use = useOf(choice, host, clock.monotonicMs(), this.#deadlineAtMs);
     peers.begin(use, this.#engineService);
   }
 
-  /** The service by whose planners attempts are known; undefined for plain services. */
+  /** The service whose planners are notified of attempts; undefined for plain services. */
   get #engineService(): string | undefined {
     return this.admitted.figures && this.admitted.service;
   }
 
-  /** Gives the current attempt up for a fault of `server` and tries others, if one more may be tried. */
-  #passOver(server: BackendServer, why: string): void {
+  /** Abandons the current attempt for a fault of `server` and tries another server, if a retry is allowed. */
+  #abandonFor(server: BackendServer, why: string): void {
     const running = this.#current;
-    if (!running || !this.#tally.tryPassOver(server.id)) return;
-    void this.#ends.askAfter(running.id, server, why);
-    this.#attemptEnds.suspect(server, why);
-    this.#isPassedOver = true;
+    if (!running || !this.#history.tryAbandon(server.id)) return;
+    void this.#terminations.probe(running.id, server, why);
+    this.#outcomeHandler.suspect(server, why);
+    this.#isRetried = true;
     running.attempt.cancel();
   }
 
   /**
-   * A server that the current attempt depends on has started again, and what ran there is gone, also
-   * where its connection is silent. A request that may be repeated goes elsewhere at once, another
-   * one ends: its caller is told that the outcome is not known.
+   * Handles the restart of a server that the current attempt depends on: its work is lost, even if its connection
+   * shows no error. A request that may be repeated is retried at once; any other fails with an unknown outcome.
    */
-  #onLifeOver(server: BackendServer): void {
+  #onServerRestarted(server: BackendServer): void {
     const running = this.#current;
     if (!running?.attempt.isConnected) return;
     const { choice, hasEvents } = running;
-    const isNeeded = server.id === choice.server.id || !hasEvents || choice.held !== undefined;
-    if (!isNeeded) return;
-    this.#record.attemptLost(running.id, server);
-    this.#ends.onStartedAgain(running.id, server);
-    if (this.#tally.tryPassOver(choice.server.id)) this.#isPassedOver = true;
-    else this.#lostBecause = 'the server that ran it has started again';
+    const isStillNeeded = server.id === choice.server.id || !hasEvents || choice.held !== undefined;
+    if (!isStillNeeded) return;
+    this.#telemetry.attemptLost(running.id, server);
+    this.#terminations.onRestarted(running.id, server);
+    if (this.#history.tryAbandon(choice.server.id)) this.#isRetried = true;
+    else this.#failureReason = 'the server that ran the request has restarted';
     running.attempt.cancel();
   }
 
   #onFrames(frames: readonly EventFrame[], head: ResponseHead): boolean {
     const running = this.#current;
-    if (!running || this.answer.isGone) return true;
+    if (!running || this.answer.isDisconnected) return true;
     if (!running.hasEvents) this.#onFirstEvent(running);
-    this.#record.events();
+    this.#telemetry.events();
     this.#lastEventAtMs = this.parts.clock.monotonicMs();
     this.#watch.onEvents();
     return this.#events.write(frames, head);
@@ -338,10 +342,10 @@
     const { id, choice, startedAtMs } = running;
     const { clock, fleet, peers } = this.parts;
     const { partMs = 0, expectedFirstMs = 0 } = choice.plan?.stream ?? {};
-    const isTold = partMs >= MIN_ANNOUNCED_PREFILL_MS;
-    peers.onPrefillDone(id, isTold ? this.#engineService : undefined);
+    const isAnnounced = partMs >= MIN_ANNOUNCED_PREFILL_MS;
+    peers.onPrefillDone(id, isAnnounced ? this.#engineService : undefined);
     fleet.suspicions.clear(choice.server.id, clock.monotonicMs());
     const tookMs = clock.monotonicMs() - startedAtMs;
-    this.#record.firstEvent(id, choice.server, tookMs, expectedFirstMs);
+    this.#telemetry.firstEvent(id, choice.server, tookMs, expectedFirstMs);
   }
 }
--- a/packages/relay/src/request/request-handler.ts
+++ b/packages/relay/src/request/request-handler.ts
@@ -1,41 +1,41 @@
 import { fault } from '@poppypond/core';
 import type { Fault } from '@poppypond/core';
-import type { ReadRequest } from '../server/caller-listener.js';
+import type { ReceivedRequest } from '../server/caller-listener.js';
 import { admit } from './admit.js';
-import type { CallerAnswer } from './caller-answer.js';
+import type { CallerResponse } from './caller-response.js';
 import type { RelayParts } from './relay-parts.js';
-import { RelayRun } from './relay-run.js';
-import { StartHold } from './start-hold.js';
+import { RequestExecution } from './relay-run.js';
+import { StartupGrace } from './start-hold.js';
 
-/** Admits requests or refuses them, and counts those that are being served. */
+/** Admits or refuses requests, executes admitted ones and counts the open ones. */
 export class RequestHandler {
   #openCount = 0;
-  readonly #startHold: StartHold;
+  readonly #startupGrace: StartupGrace;
 
   constructor(readonly parts: RelayParts) {
-    this.#startHold = new StartHold(parts.clock);
+    this.#startupGrace = new StartupGrace(parts.clock);
     parts.pauseDetector.onPause(() => {
-      this.#startHold.onPause();
+      this.#startupGrace.onPause();
     });
   }
 
-  /** Requests that were admitted and whose answer is not over. */
+  /** Admitted requests whose response is not finished. */
   get openCount(): number {
     return this.#openCount;
   }
 
-  /** Serves one request; resolves when its answer is over. */
-  async serve({ body, answer, arrivedAtMs }: ReadRequest): Promise<void> {
+  /** Serves one request; resolves when its response is finished. */
+  async serve({ body, answer, arrivedAtMs }: ReceivedRequest): Promise<void> {
     const { parts } = this;
     parts.pauseDetector.check();
     const { caller } = answer;
     if (!caller) {
-      answer.refuse(fault('bad_field', 'the head lacks the identifier of the request'));
+      answer.refuse(fault('bad_field', 'the request head has no request id'));
       return;
     }
-    const admitted = await this.#startHold.admitted(
+    const admitted = await this.#startupGrace.waitForAdmission(
       () => admit(parts, caller),
-      () => answer.isGone,
+      () => answer.isDisconnected,
     );
     if (admitted.isErr) {
       this.#refuse(admitted.error, caller.requestId, answer);
@@ -43,21 +43,21 @@
     }
     this.#openCount += 1;
     try {
-      await new RelayRun(parts, caller, admitted.value, body, answer, arrivedAtMs).run();
+      await new RequestExecution(parts, caller, admitted.value, body, answer, arrivedAtMs).run();
     } finally {
       this.#openCount -= 1;
     }
   }
 
-  #refuse(reason: Fault, request: string, answer: CallerAnswer): void {
-    const { freshness, activeConfiguration: inForce, log, measures } = this.parts;
+  #refuse(reason: Fault, request: string, answer: CallerResponse): void {
+    const { freshness, activeConfiguration, log, measures } = this.parts;
     answer.refuse(reason);
     measures.count('poppypond_requests_total', { kind: 'none', code: reason.code });
     log.warn('refused', {
       request,
       code: reason.code,
       why: reason.detail,
-      configuration: inForce.version,
+      configuration: activeConfiguration.version,
       configuration_age_ms: Math.round(freshness.ageMs()),
     });
   }
--- a/packages/relay/src/request/request-record.ts
+++ b/packages/relay/src/request/request-telemetry.ts
@@ -1,17 +1,17 @@
 import { promptSizeOf } from '@poppypond/core';
 import type { Milliseconds, ResultName } from '@poppypond/core';
 import type { AttemptFailure, BackendServer, RetryDecision } from '@poppypond/fleet';
-import type { SendBlock } from '../notices/send-gate.js';
+import type { BlockReason } from '../notices/send-gate.js';
 import type { CallerHead } from '../ports.js';
-import type { FoundServer } from '../quarantine/run-ends.js';
-import type { Admitted } from './admit.js';
+import type { ProbedServer } from '../quarantine/run-ends.js';
+import type { AdmittedRequest } from './admit.js';
 import type { StreamPlan } from './choice.js';
 import type { RelayParts } from './relay-parts.js';
 
-/** How an answer ended, for its log line. */
-export interface AnswerEnd {
+/** How a response ended, for the log. */
+export interface ResponseSummary {
   readonly code: ResultName;
-  /** The server's status; undefined where the answer is the relay's own. */
+  /** HTTP status of the server's response; undefined if the response is the relay's own. */
   readonly status: number | undefined;
   readonly why: string | undefined;
   readonly attemptsSent: number;
@@ -19,7 +19,7 @@
   readonly lastEventId: number | undefined;
 }
 
-/** A refused retry and what it was weighed by. */
+/** A retry that was refused, and what the decision was based on. */
 export interface RefusedRetry {
   readonly failure: AttemptFailure;
   readonly decision: RetryDecision;
@@ -27,10 +27,10 @@
   readonly leftMs: Milliseconds;
 }
 
-/** Writes the decisions about one request to the log and counts them. */
-export class RequestRecord {
+/** Logs the decisions about one request and records its metrics. */
+export class RequestTelemetry {
   readonly #size: string;
-  /** When the first event came, since the request did; undefined before it. */
+  /** Time from the request's arrival to its first event; undefined before that event. */
   #firstEventMs: Milliseconds | undefined;
   #lastEventAtMs: Milliseconds | undefined;
   #longestGapMs: Milliseconds = 0;
@@ -38,7 +38,7 @@
   constructor(
     readonly parts: RelayParts,
     readonly caller: CallerHead,
-    readonly admitted: Admitted,
+    readonly admitted: AdmittedRequest,
     readonly arrivedAtMs: Milliseconds,
   ) {
     this.#size = promptSizeOf(caller.promptTokens);
@@ -97,7 +97,7 @@
     });
   }
 
-  /** Events of the answer came, from whichever attempt. */
+  /** Records that events of the response arrived, from any attempt. */
   events(): void {
     const nowMs = this.parts.clock.monotonicMs();
     const gapMs = this.#lastEventAtMs === undefined ? undefined : nowMs - this.#lastEventAtMs;
@@ -117,8 +117,8 @@
     this.parts.log.warn('attempt_failed', { request, server: server.id, failure, why, again });
   }
 
-  /** A server that was chosen has said meanwhile that it wants nothing. */
-  heldBack(server: string, why: SendBlock): void {
+  /** Records that the send gate blocked a chosen server. */
+  sendBlocked(server: string, why: BlockReason): void {
     const { log, measures, servers } = this.parts;
     measures.count('poppypond_sends_held_back_total', { why });
     log.info('send_held_back', {
@@ -129,8 +129,8 @@
     });
   }
 
-  /** What was found of a server after an attempt that had no whole answer. */
-  serverFound({ server, content, found, why, ends }: FoundServer): void {
+  /** Records the check of a server after an attempt without a complete response. */
+  serverProbed({ server, content, found, why, ends }: ProbedServer): void {
     const request = this.caller.requestId;
     const { workspace } = this.admitted;
     const line = { request, content, workspace, server: server.id, found, why, ends };
@@ -138,14 +138,14 @@
     this.parts.log.warn('server_asked', line);
   }
 
-  /** What runs for an attempt is gone, as a server that it depends on has started again. */
+  /** Records that an attempt lost its work because a server that it depends on has restarted. */
   attemptLost(attempt: string, server: BackendServer): void {
     const request = this.caller.requestId;
     this.parts.log.warn('attempt_lost', {
       request,
       attempt,
       server: server.id,
-      why: 'the server has started again',
+      why: 'the server has restarted',
       after_ms: Math.round(this.#sinceArrivalMs()),
       list_age_ms: Math.round(this.parts.servers.freshness.ageMs()),
     });
@@ -164,7 +164,7 @@
     });
   }
 
-  serverSuspect(server: BackendServer, why: string, forMs: Milliseconds): void {
+  serverSuspected(server: BackendServer, why: string, forMs: Milliseconds): void {
     const request = this.caller.requestId;
     this.parts.log.warn('server_suspect', {
       request,
@@ -174,7 +174,7 @@
     });
   }
 
-  answered(end: AnswerEnd): void {
+  answered(end: ResponseSummary): void {
     const { log, measures } = this.parts;
     const { kind, name, aimMs, gapAimMs } = this.admitted.route;
     const isStream = kind === 'stream';
