--- a/packages/relay/src/peers/attempt-news.ts
+++ b/packages/relay/src/peers/attempt-news.ts
@@ -3,28 +3,33 @@
 import type { PlanRequest } from '../planning/plan-request.js';
 import type { Planner } from '../planning/planner.js';
 import type { ExchangeParts } from './exchange-parts.js';
-import type { LimitNews } from './limit-news.js';
+import type { LimitExchange } from './limit-news.js';
 import { toWireServer } from './list-on-the-wire.js';
 import type { PeerMessage } from './peer-messages.js';
-import type { WireAsk } from './plan-messages.js';
+import type { WirePlanRequest } from './plan-messages.js';
 import type { StoreSyncState } from './store-sync-state.js';
-import { fromWireAsk, toWireAnswer, toWireAsk, toWireUse } from './work-on-the-wire.js';
+import {
+  fromWirePlanRequest,
+  toWirePlanAnswer,
+  toWirePlanRequest,
+  toWireAttemptUse,
+} from './work-on-the-wire.js';
 
 /** What the exchange needs. */
-export interface AttemptNewsParts extends ExchangeParts {
+export interface AttemptExchangeParts extends ExchangeParts {
   /** Names this host. */
   readonly host: string;
   readonly fleet: FleetView;
   readonly planner: Planner;
-  readonly knowledge: StoreSyncState;
-  readonly limitNews: LimitNews;
+  readonly syncState: StoreSyncState;
+  readonly limitExchange: LimitExchange;
   /** Services of engines that this host may have to plan for or ask for plans. */
   readonly engineServices: () => readonly string[];
 }
 
 /** Asks other hosts for plans, plans for them, and tells those who plan what runs and which servers fail. */
-export class AttemptNews {
-  constructor(readonly parts: AttemptNewsParts) {}
+export class AttemptExchange {
+  constructor(readonly parts: AttemptExchangeParts) {}
 
   /** Hosts that plan for a service, the first in rank before others; this host may be among them. */
   plannersOf(service: string): readonly string[] {
@@ -39,45 +44,53 @@
 
   /** Asks `planner`; the answers come as messages, or are lost. */
   askPlan(planner: string, request: PlanRequest): void {
-    const { clock, limitNews } = this.parts;
-    const limits = limitNews.forAsk(request.service);
-    const ask = { ...toWireAsk(request, clock.monotonicMs()), limits };
-    this.#sendTo(planner, { kind: 'ask', ...this.parts.selfFields(), ask });
+    const { clock, limitExchange } = this.parts;
+    const limits = limitExchange.forPlanRequest(request.service);
+    const ask = { ...toWirePlanRequest(request, clock.monotonicMs()), limits };
+    this.#sendTo(planner, { kind: 'ask', ...this.parts.senderFields(), ask });
   }
 
   /** Tells `planner` that an attempt won't run by its plan. */
   withdrawPlan(planner: string, attemptId: string): void {
-    this.#sendTo(planner, { kind: 'withdraw', ...this.parts.selfFields(), attempt: attemptId });
+    this.#sendTo(planner, { kind: 'withdraw', ...this.parts.senderFields(), attempt: attemptId });
   }
 
   /** Plans for `host`; it is told each answer. */
-  onAsk(ask: WireAsk, host: string): void {
-    const { clock, limitNews, planner, selfFields } = this.parts;
+  onPlanRequest(ask: WirePlanRequest, host: string): void {
+    const { clock, limitExchange, planner, senderFields } = this.parts;
     const { attempt, limits } = ask;
-    limitNews.hear(limits, host);
-    planner.submit(fromWireAsk(ask, host, clock.monotonicMs()), (answer) => {
-      const wire = toWireAnswer(answer);
-      this.#sendTo(host, { kind: 'plan', ...selfFields(), attempt, answer: wire });
+    limitExchange.recordFromPeer(limits, host);
+    planner.submit(fromWirePlanRequest(ask, host, clock.monotonicMs()), (answer) => {
+      const wire = toWirePlanAnswer(answer);
+      this.#sendTo(host, { kind: 'plan', ...senderFields(), attempt, answer: wire });
     });
   }
 
   /** An attempt begins; planners of `service` are told, where there are any. */
   begin(use: AttemptUse, service: string | undefined): void {
     this.parts.fleet.begin(use);
-    const wire = toWireUse(use, this.parts.clock.monotonicMs());
-    this.#tellPlanners(service, { kind: 'begin', ...this.parts.selfFields(), use: wire });
+    const wire = toWireAttemptUse(use, this.parts.clock.monotonicMs());
+    this.#notifyPlanners(service, { kind: 'begin', ...this.parts.senderFields(), use: wire });
   }
 
   /** The first event of an attempt has come. `service`: undefined where planners need not know. */
-  onReadDone(attemptId: string, service: string | undefined): void {
+  onPrefillDone(attemptId: string, service: string | undefined): void {
     this.parts.fleet.onPrefillDone(attemptId);
-    this.#tellPlanners(service, { kind: 'read', ...this.parts.selfFields(), attempt: attemptId });
+    this.#notifyPlanners(service, {
+      kind: 'read',
+      ...this.parts.senderFields(),
+      attempt: attemptId,
+    });
   }
 
   /** An attempt is over, or won't begin. */
   end(attemptId: string, service: string | undefined): void {
     this.parts.fleet.end(attemptId);
-    this.#tellPlanners(service, { kind: 'end', ...this.parts.selfFields(), attempt: attemptId });
+    this.#notifyPlanners(service, {
+      kind: 'end',
+      ...this.parts.senderFields(),
+      attempt: attemptId,
+    });
   }
 
   /**
@@ -85,12 +98,12 @@
    * now.
    */
   suspect(server: string, service: string): Milliseconds {
-    const { clock, fleet, selfFields } = this.parts;
+    const { clock, fleet, senderFields } = this.parts;
     const nowMs = clock.monotonicMs();
     const isKnown = fleet.suspicions.leftMs(server, nowMs) > 0;
     const forMs = fleet.suspicions.add(server, nowMs);
     if (isKnown) return forMs;
-    this.#tellThoseWhoChoose(service, { kind: 'suspect', ...selfFields(), server, forMs });
+    this.#notifySelectingHosts(service, { kind: 'suspect', ...senderFields(), server, forMs });
     return forMs;
   }
 
@@ -99,22 +112,22 @@
    * each host finds that out by itself, 322 of 2,218 attempts go to addresses that another engine has,
    * in 33 s in which 31 of 60 engines start again behind cuts; where it is told, 38 of 1,979.
    */
-  tellGone(server: BackendServer): void {
-    const { host, knowledge, selfFields } = this.parts;
-    if (!knowledge.hearGone(server, host)) return;
-    const message: PeerMessage = { kind: 'gone', ...selfFields(), server: toWireServer(server) };
-    this.#tellThoseWhoChoose(server.service, message);
+  broadcastServerGone(server: BackendServer): void {
+    const { host, syncState, senderFields } = this.parts;
+    if (!syncState.onServerGone(server, host)) return;
+    const message: PeerMessage = { kind: 'gone', ...senderFields(), server: toWireServer(server) };
+    this.#notifySelectingHosts(server.service, message);
   }
 
-  #tellPlanners(service: string | undefined, message: PeerMessage): void {
+  #notifyPlanners(service: string | undefined, message: PeerMessage): void {
     if (service === undefined) return;
     for (const host of this.plannersOf(service)) this.#sendTo(host, message);
   }
 
   /** Planners choose among engines, every host among the servers of plain services. */
-  #tellThoseWhoChoose(service: string, message: PeerMessage): void {
+  #notifySelectingHosts(service: string, message: PeerMessage): void {
     const { engineServices, peers, send } = this.parts;
-    if (engineServices().includes(service)) this.#tellPlanners(service, message);
+    if (engineServices().includes(service)) this.#notifyPlanners(service, message);
     else send([...peers.all()], message);
   }
 
--- a/packages/relay/src/peers/batched-spread.ts
+++ b/packages/relay/src/peers/batched-spread.ts
@@ -1,57 +1,57 @@
 import type { Clock, Milliseconds } from '@poppypond/core';
-import type { ZoneSpread } from './zone-spread.js';
+import type { ZoneBroadcast } from './zone-spread.js';
 
 /** What batched news needs. */
-export interface BatchedSpreadParts<Entry> {
+export interface BatchedBroadcastParts<Entry> {
   readonly clock: Clock;
-  readonly spread: ZoneSpread<readonly Entry[]>;
+  readonly broadcast: ZoneBroadcast<readonly Entry[]>;
   /** What holds of a subject as it is told; undefined where nothing does any more. */
   readonly find: (subject: string) => Entry | undefined;
 }
 
 /** Pause between messages: of sixteen entries, 2.3 KB, so 23 KB a second at the most. */
-const TELL_PERIOD_MS: Milliseconds = 100;
-const MOST_TOLD_AT_ONCE = 16;
+const MIN_SEND_INTERVAL_MS: Milliseconds = 100;
+const MAX_BATCH_SIZE = 16;
 /** What is not told at once for want of room goes with the heartbeats. */
-const MOST_TO_TELL = 128;
+const MAX_QUEUED = 128;
 
 /** Tells all hosts of subjects that change, each as it is when its turn has come, in a bounded number of messages. */
-export class BatchedSpread<Entry> {
-  readonly #toTell = new Set<string>();
-  #toldAtMs: Milliseconds = Number.NEGATIVE_INFINITY;
-  #isPlanned = false;
+export class BatchedBroadcast<Entry> {
+  readonly #queued = new Set<string>();
+  #sentAtMs: Milliseconds = Number.NEGATIVE_INFINITY;
+  #isScheduled = false;
 
-  constructor(readonly parts: BatchedSpreadParts<Entry>) {}
+  constructor(readonly parts: BatchedBroadcastParts<Entry>) {}
 
   /** These subjects have changed. */
-  tell(subjects: Iterable<string>): void {
+  publish(subjects: Iterable<string>): void {
     for (const subject of subjects) {
-      if (this.#toTell.size < MOST_TO_TELL) this.#toTell.add(subject);
+      if (this.#queued.size < MAX_QUEUED) this.#queued.add(subject);
     }
-    this.#tellSoon();
+    this.#scheduleSend();
   }
 
-  #tellSoon(): void {
-    if (this.#isPlanned || this.#toTell.size === 0) return;
+  #scheduleSend(): void {
+    if (this.#isScheduled || this.#queued.size === 0) return;
     const { clock } = this.parts;
-    const waitMs = this.#toldAtMs + TELL_PERIOD_MS - clock.monotonicMs();
+    const waitMs = this.#sentAtMs + MIN_SEND_INTERVAL_MS - clock.monotonicMs();
     if (waitMs <= 0) {
-      this.#tellNow();
+      this.#sendBatch();
       return;
     }
-    this.#isPlanned = true;
+    this.#isScheduled = true;
     clock.after(waitMs, () => {
-      this.#isPlanned = false;
-      this.#tellNow();
+      this.#isScheduled = false;
+      this.#sendBatch();
     });
   }
 
-  #tellNow(): void {
-    const { clock, find, spread } = this.parts;
-    this.#toldAtMs = clock.monotonicMs();
-    const subjects = [...this.#toTell].slice(0, MOST_TOLD_AT_ONCE);
-    for (const subject of subjects) this.#toTell.delete(subject);
-    spread.tell(subjects.flatMap((subject) => find(subject) ?? []));
-    this.#tellSoon();
+  #sendBatch(): void {
+    const { clock, find, broadcast } = this.parts;
+    this.#sentAtMs = clock.monotonicMs();
+    const subjects = [...this.#queued].slice(0, MAX_BATCH_SIZE);
+    for (const subject of subjects) this.#queued.delete(subject);
+    broadcast.publish(subjects.flatMap((subject) => find(subject) ?? []));
+    this.#scheduleSend();
   }
 }
--- a/packages/relay/src/peers/departed-hosts.ts
+++ b/packages/relay/src/peers/departed-hosts.ts
@@ -20,7 +20,7 @@
   }
 
   /** Hosts that have been gone for long; each is told once. */
-  takeGone(): readonly string[] {
+  takePermanentlyGone(): readonly string[] {
     const beforeMs = this.clock.monotonicMs() - GONE_AFTER_MS;
     const gone = [...this.#leftAtMs].filter(([, atMs]) => atMs <= beforeMs).map(([host]) => host);
     for (const host of gone) this.#leftAtMs.delete(host);
--- a/packages/relay/src/peers/exchange-parts.ts
+++ b/packages/relay/src/peers/exchange-parts.ts
@@ -1,7 +1,7 @@
 import type { Clock } from '@poppypond/core';
 import type { Peer, PeerList } from './peer-list.js';
 import type { PeerMessage } from './peer-messages.js';
-import type { SelfFields } from './self-fields.js';
+import type { SenderFields } from './self-fields.js';
 
 /** What every exchange between hosts needs. */
 export interface ExchangeParts {
@@ -10,5 +10,5 @@
   /** Sends one message to each of `peers`; any of them may be lost. */
   readonly send: (peers: readonly Peer[], message: PeerMessage) => void;
   /** Names this host in messages. */
-  readonly selfFields: () => SelfFields;
+  readonly senderFields: () => SenderFields;
 }
--- a/packages/relay/src/peers/heartbeat.ts
+++ b/packages/relay/src/peers/heartbeat.ts
@@ -1,16 +1,16 @@
 import type { Milliseconds } from '@poppypond/core';
 import type { FleetView } from '@poppypond/fleet';
 import type { Peer, PeerAddress } from './peer-list.js';
-import type { Beat, WireQuarantine } from './peer-messages.js';
+import type { Heartbeat, WireQuarantineEntry } from './peer-messages.js';
 import type { WireLimit } from './plan-messages.js';
 import type { DatedStoreVersions, StoreSyncState } from './store-sync-state.js';
-import { toWireUse } from './work-on-the-wire.js';
+import { toWireAttemptUse } from './work-on-the-wire.js';
 
 /** What a heartbeat is made from. */
-export interface BeatInputs {
+export interface HeartbeatInputs {
   readonly self: PeerAddress & { readonly incarnation: string };
   readonly fleet: FleetView;
-  readonly knowledge: StoreSyncState;
+  readonly syncState: StoreSyncState;
   readonly canPlan: boolean;
   /** Whether the receiver plans, so that it has to know what this host runs. */
   readonly isPlanner: boolean;
@@ -19,7 +19,7 @@
   /** Whether the receiver is asked to answer at once. */
   readonly isQuestion: boolean;
   /** Requests under which servers ended. */
-  readonly quarantine: WireQuarantine[];
+  readonly quarantine: WireQuarantineEntry[];
   /** Limits that servers name. */
   readonly limits: WireLimit[];
   /** The sender's monotonic clock. */
@@ -30,14 +30,14 @@
   return Number.isFinite(ageMs) ? ageMs : null;
 }
 
-function echoOf({ incarnation, lastSentAtMs }: Peer): Beat['echo'] {
+function echoOf({ incarnation, lastSentAtMs }: Peer): Heartbeat['echo'] {
   if (incarnation === undefined || lastSentAtMs === undefined) return null;
   return { incarnation, sentAtMs: lastSentAtMs };
 }
 
 /** The heartbeat of this host for `peer`. */
-export function makeBeat(inputs: BeatInputs, peer: Peer): Beat {
-  const { self, fleet, knowledge, isPlanner, nowMs } = inputs;
+export function makeHeartbeat(inputs: HeartbeatInputs, peer: Peer): Heartbeat {
+  const { self, fleet, syncState, isPlanner, nowMs } = inputs;
   const { canPlan, memberCount, isQuestion, quarantine, limits } = inputs;
   const { host, incarnation, port, availabilityZone, capacity } = self;
   return {
@@ -47,16 +47,16 @@
     port,
     sentAtMs: nowMs,
     echo: echoOf(peer),
-    isStoreLost: knowledge.isStoreLost,
+    isStoreLost: syncState.isStoreLost,
     isQuestion,
-    ...knowledge.own,
-    configurationAgeMs: finiteOrNull(knowledge.configurationAgeMs),
-    listAgeMs: finiteOrNull(knowledge.listAgeMs),
+    ...syncState.ownVersions,
+    configurationAgeMs: finiteOrNull(syncState.configurationAgeMs),
+    listAgeMs: finiteOrNull(syncState.listAgeMs),
     availabilityZone,
     capacity,
     memberCount,
     canPlan,
-    uses: isPlanner ? fleet.attemptsOf(host).map((use) => toWireUse(use, nowMs)) : null,
+    uses: isPlanner ? fleet.attemptsOf(host).map((use) => toWireAttemptUse(use, nowMs)) : null,
     quarantine,
     limits,
   };
@@ -66,16 +66,19 @@
  * What the sender of `beat` knew of the store, in instants of this process's clock; undefined where
  * it echoes no heartbeat of this process.
  */
-export function datedWordOf(beat: Beat, incarnation: string): DatedStoreVersions | undefined {
+export function datedVersionsOf(
+  beat: Heartbeat,
+  incarnation: string,
+): DatedStoreVersions | undefined {
   if (beat.echo?.incarnation !== incarnation) return undefined;
   // Ages were told after our own beat had arrived there, so they held at that beat or later.
   const { sentAtMs } = beat.echo;
-  const dated = (ageMs: number | null) => (ageMs === null ? undefined : sentAtMs - ageMs);
+  const timeAtAge = (ageMs: number | null) => (ageMs === null ? undefined : sentAtMs - ageMs);
   return {
     configurationVersion: beat.configurationVersion,
-    configurationAtMs: dated(beat.configurationAgeMs),
+    configurationAtMs: timeAtAge(beat.configurationAgeMs),
     listDigest: beat.listDigest,
     listVersion: beat.listVersion,
-    listAtMs: dated(beat.listAgeMs),
+    listAtMs: timeAtAge(beat.listAgeMs),
   };
 }
--- a/packages/relay/src/peers/leaving-news.test.ts
+++ b/packages/relay/src/peers/leaving-news.test.ts
@@ -3,17 +3,17 @@
 import { ENGINE, MeshNetwork } from './mocks/mesh-network.js';
 import { decodeMessage } from './peer-messages.js';
 
-const LEAVES = { isLeaving: true, backoffMs: undefined };
+const LEAVING_NOTICE = { isLeaving: true, backoffMs: undefined };
 
 function network(count: number, zones: number): MeshNetwork {
-  const made = new MeshNetwork();
-  made.zones = zones;
+  const meshNetwork = new MeshNetwork();
+  meshNetwork.zones = zones;
   const ports = Array.from({ length: count }, (_unused, index) => index + 1);
-  for (const port of ports) made.start(port, ports);
-  return made;
+  for (const port of ports) meshNetwork.start(port, ports);
+  return meshNetwork;
 }
 
-function knowers({ hosts }: MeshNetwork): number {
+function countInformedHosts({ hosts }: MeshNetwork): number {
   return [...hosts.values()].filter(({ list }) => list.isLeaving(ENGINE)).length;
 }
 
@@ -25,9 +25,9 @@
   ])('tells all of %i hosts in %i zones at once, whoever heard it', async (count, zones) => {
     const hosts = network(count, zones);
     await hosts.run(2000);
-    hosts.hosts.get(count)?.notices.recordNotice(ENGINE, LEAVES);
+    hosts.hosts.get(count)?.notices.recordNotice(ENGINE, LEAVING_NOTICE);
     await hosts.run(100);
-    expect(knowers(hosts)).toBe(count);
+    expect(countInformedHosts(hosts)).toBe(count);
   });
 
   it('sends no message from all to all, also where all hear it at once, and each but once', async () => {
@@ -38,12 +38,12 @@
       if (kind === 'leaving') messages += 1;
       return false;
     };
-    for (const { notices } of hosts.hosts.values()) notices.recordNotice(ENGINE, LEAVES);
+    for (const { notices } of hosts.hosts.values()) notices.recordNotice(ENGINE, LEAVING_NOTICE);
     await hosts.run(100);
     const once = messages;
     // Each tells the first two, which tell all of their zone and one host of each other.
     expect(once).toBeLessThan(3 * 60);
-    for (const { notices } of hosts.hosts.values()) notices.recordNotice(ENGINE, LEAVES);
+    for (const { notices } of hosts.hosts.values()) notices.recordNotice(ENGINE, LEAVING_NOTICE);
     await hosts.run(100);
     expect(messages).toBe(once);
   });
@@ -51,7 +51,7 @@
   it('has planners elsewhere plan nothing there, by the first word of any host', async () => {
     const hosts = network(12, 3);
     await hosts.run(2000);
-    hosts.hosts.get(12)?.notices.recordNotice(ENGINE, LEAVES);
+    hosts.hosts.get(12)?.notices.recordNotice(ENGINE, LEAVING_NOTICE);
     await hosts.run(100);
     for (const { list } of hosts.hosts.values()) expect(list.available(ENGINE.service)).toEqual([]);
   });
--- a/packages/relay/src/peers/member-directory.test.ts
+++ b/packages/relay/src/peers/member-directory.test.ts
@@ -13,24 +13,24 @@
   availabilityZone: 'zone-a',
   capacity: 1.35,
 };
-const AWAY: StoreFailure = { kind: 'no_answer', detail: 'away' };
+const UNAVAILABLE: StoreFailure = { kind: 'no_answer', detail: 'away' };
 
 /** A store of one table, and the calls that it got. */
-function directory(isAway = () => false) {
+function directory(isUnavailable = () => false) {
   const rows = new Map<string, Buffer>();
   const calls: string[] = [];
   const unused = () => Promise.reject(new Error('not used'));
   const store: RowStore = {
     read: () => {
       calls.push('read');
-      if (isAway()) return Promise.resolve(Result.err(AWAY));
+      if (isUnavailable()) return Promise.resolve(Result.err(UNAVAILABLE));
       const set = [...rows].map(([key, value]) => ({ key, value }));
       return Promise.resolve(Result.ok({ rows: set, version: 1, storeNowMs: 0 }));
     },
     changes: unused,
     put: (_table, key, value) => {
       calls.push('put');
-      if (isAway()) return Promise.resolve(Result.err(AWAY));
+      if (isUnavailable()) return Promise.resolve(Result.err(UNAVAILABLE));
       rows.set(key, value);
       return Promise.resolve(Result.ok(1));
     },
@@ -39,8 +39,8 @@
       return Promise.resolve(Result.ok(1));
     },
   };
-  const made = new MemberDirectory(new CountedStore(store, new Measures()), silentLog);
-  return { made, calls, rows };
+  const members = new MemberDirectory(new CountedStore(store, new Measures()), silentLog);
+  return { made: members, calls, rows };
 }
 
 describe('MemberDirectory', () => {
@@ -93,10 +93,10 @@
   });
 
   it('says that it has not joined while the store is away, and takes off who is gone', async () => {
-    let isAway = true;
-    const { made, rows } = directory(() => isAway);
+    let isUnavailable = true;
+    const { made, rows } = directory(() => isUnavailable);
     expect(await made.join(SELF, false)).toBeUndefined();
-    isAway = false;
+    isUnavailable = false;
     await made.join(SELF, false);
     await made.remove(SELF.host);
     expect(rows.size).toBe(0);
--- a/packages/relay/src/peers/member-directory.ts
+++ b/packages/relay/src/peers/member-directory.ts
@@ -6,17 +6,17 @@
 
 const MEMBERS_TABLE = 'members';
 
-const LAST_PORT = 65_535;
+const MAX_PORT = 65_535;
 
 /** All that a host writes of itself; a row that is not of that form was written by another program. */
 const memberSchema = z.object({
   address: z.ipv4(),
-  port: z.int().min(1).max(LAST_PORT),
+  port: z.int().min(1).max(MAX_PORT),
   availabilityZone: z.string(),
   capacity: z.number().positive(),
 });
 
-function sameAddress(left: PeerAddress, right: PeerAddress): boolean {
+function isSameAddress(left: PeerAddress, right: PeerAddress): boolean {
   return (
     left.address === right.address &&
     left.port === right.port &&
@@ -42,25 +42,28 @@
     self: PeerAddress,
     isFirstStart: boolean,
   ): Promise<readonly PeerAddress[] | undefined> {
-    const known = isFirstStart ? [] : await this.#list();
-    if (!known || known.some((member) => member.host === self.host && sameAddress(member, self))) {
+    const known = isFirstStart ? [] : await this.#readMembers();
+    if (
+      !known ||
+      known.some((member) => member.host === self.host && isSameAddress(member, self))
+    ) {
       return known;
     }
     const { address, port, availabilityZone, capacity } = self;
     const value = Buffer.from(JSON.stringify({ address, port, availabilityZone, capacity }));
     const written = await this.store.put(MEMBERS_TABLE, self.host, value, 'own_row');
-    return written.isErr ? this.#failed('join', written.error.detail) : this.#list();
+    return written.isErr ? this.#logFailure('join', written.error.detail) : this.#readMembers();
   }
 
   /** Takes a host off the list that is gone for good. */
   async remove(host: string): Promise<void> {
     const removed = await this.store.remove(MEMBERS_TABLE, host, 'removal');
-    if (removed.isErr) this.#failed('remove', removed.error.detail);
+    if (removed.isErr) this.#logFailure('remove', removed.error.detail);
   }
 
-  async #list(): Promise<readonly PeerAddress[] | undefined> {
+  async #readMembers(): Promise<readonly PeerAddress[] | undefined> {
     const read = await this.store.read(MEMBERS_TABLE, 'members');
-    if (read.isErr) return this.#failed('list', read.error.detail);
+    if (read.isErr) return this.#logFailure('list', read.error.detail);
     return read.value.rows.flatMap(({ key, value: row }) => {
       const member = memberSchema.safeParse(row && parseJson(row.toString('utf8')));
       if (member.success) return [{ host: key, ...member.data }];
@@ -69,7 +72,7 @@
     });
   }
 
-  #failed(step: string, why: string): undefined {
+  #logFailure(step: string, why: string): undefined {
     this.log.warn('member_directory_failed', { step, why });
     return undefined;
   }
--- a/packages/relay/src/peers/message-intake.ts
+++ b/packages/relay/src/peers/message-intake.ts
@@ -2,51 +2,51 @@
 import type { FleetView } from '@poppypond/fleet';
 import type { PlanAnswer } from '../planning/plan-request.js';
 import type { Planner } from '../planning/planner.js';
-import type { AttemptNews } from './attempt-news.js';
-import type { Beats } from './beats.js';
+import type { AttemptExchange } from './attempt-news.js';
+import type { HeartbeatExchange } from './beats.js';
 import type { ExchangeParts } from './exchange-parts.js';
-import type { LeavingNews } from './leaving-news.js';
-import type { LimitNews } from './limit-news.js';
+import type { LeavingExchange } from './leaving-news.js';
+import type { LimitExchange } from './limit-news.js';
 import { fromWireServer } from './list-on-the-wire.js';
-import type { News } from './news.js';
-import type { Beat, PeerMessage, WireMember } from './peer-messages.js';
-import type { QuarantineNews } from './quarantine-news.js';
+import type { StoreStateExchange } from './news.js';
+import type { Heartbeat, PeerMessage, WireMember } from './peer-messages.js';
+import type { QuarantineExchange } from './quarantine-news.js';
 import type { StoreSyncState } from './store-sync-state.js';
-import { fromWireUse } from './work-on-the-wire.js';
+import { fromWireAttemptUse } from './work-on-the-wire.js';
 
 /** Whoever takes in messages of other hosts. */
-export interface MessageIntakeParts extends Omit<ExchangeParts, 'selfFields' | 'send'> {
+export interface MessageDispatcherParts extends Omit<ExchangeParts, 'senderFields' | 'send'> {
   readonly fleet: FleetView;
   readonly planner: Planner;
-  readonly knowledge: StoreSyncState;
-  readonly beats: Beats;
-  readonly news: News;
-  readonly attempts: AttemptNews;
-  readonly quarantineNews: QuarantineNews;
-  readonly leavingNews: LeavingNews;
-  readonly limitNews: LimitNews;
+  readonly syncState: StoreSyncState;
+  readonly heartbeats: HeartbeatExchange;
+  readonly news: StoreStateExchange;
+  readonly attempts: AttemptExchange;
+  readonly quarantineExchange: QuarantineExchange;
+  readonly leavingExchange: LeavingExchange;
+  readonly limitExchange: LimitExchange;
   readonly onPlan: (attemptId: string, answer: PlanAnswer) => void;
   readonly onMembers: (members: readonly WireMember[]) => void;
   readonly onLeft: (host: string) => void;
 }
 
 /** Gives each message of another host to whoever takes its kind in. */
-export class MessageIntake {
-  constructor(readonly parts: MessageIntakeParts) {}
+export class MessageDispatcher {
+  constructor(readonly parts: MessageDispatcherParts) {}
 
-  take(message: PeerMessage): void {
-    const { attempts, clock, fleet, knowledge, news, peers, planner } = this.parts;
-    const { leavingNews, limitNews, quarantineNews } = this.parts;
+  dispatch(message: PeerMessage): void {
+    const { attempts, clock, fleet, syncState, news, peers, planner } = this.parts;
+    const { leavingExchange, limitExchange, quarantineExchange } = this.parts;
     const nowMs = clock.monotonicMs();
     match(message)
       .with({ kind: 'beat' }, (beat) => {
-        this.#onBeat(beat);
+        this.#onHeartbeat(beat);
       })
       .with({ kind: 'begin' }, ({ use, host }) => {
-        fleet.begin(fromWireUse(use, host, nowMs));
+        fleet.begin(fromWireAttemptUse(use, host, nowMs));
       })
       .with({ kind: 'ask' }, ({ ask, host }) => {
-        attempts.onAsk(ask, host);
+        attempts.onPlanRequest(ask, host);
       })
       .with({ kind: 'plan' }, ({ attempt, answer }) => {
         this.parts.onPlan(attempt, answer);
@@ -64,29 +64,29 @@
         fleet.suspicions.avoid(server, forMs, nowMs);
       })
       .with({ kind: 'gone' }, ({ server, host }) => {
-        knowledge.hearGone(fromWireServer(server), host);
+        syncState.onServerGone(fromWireServer(server), host);
       })
       .with({ kind: 'told' }, (told) => {
-        news.onTold(told);
+        news.onFragment(told);
       })
       .with({ kind: 'list_change' }, (change) => {
-        news.onListChange(change);
+        news.onListDelta(change);
       })
       .with({ kind: 'want' }, (want) => {
         const peer = peers.find(want.host);
-        if (peer) news.onWant(peer, want);
+        if (peer) news.onStateRequest(peer, want);
       })
       .with({ kind: 'members' }, ({ members }) => {
         this.parts.onMembers(members);
       })
       .with({ kind: 'quarantine' }, (told) => {
-        quarantineNews.onTold(told);
+        quarantineExchange.onMessage(told);
       })
       .with({ kind: 'leaving' }, (told) => {
-        leavingNews.onTold(told);
+        leavingExchange.onMessage(told);
       })
       .with({ kind: 'limits' }, (told) => {
-        limitNews.onTold(told);
+        limitExchange.onMessage(told);
       })
       .with({ kind: 'leave' }, ({ host }) => {
         this.parts.onLeft(host);
@@ -94,10 +94,10 @@
       .exhaustive();
   }
 
-  #onBeat(beat: Beat): void {
-    const { beats, news, peers } = this.parts;
-    beats.onBeat(beat);
+  #onHeartbeat(beat: Heartbeat): void {
+    const { heartbeats, news, peers } = this.parts;
+    heartbeats.onHeartbeat(beat);
     const peer = peers.find(beat.host);
-    if (peer) news.onWord(peer, beat);
+    if (peer) news.onVersions(peer, beat);
   }
 }
--- a/packages/relay/src/peers/mocks/mesh-network.ts
+++ b/packages/relay/src/peers/mocks/mesh-network.ts
@@ -18,21 +18,21 @@
 import { StoreSyncState } from '../store-sync-state.js';
 
 /** A clock of one process: the common one, counted from the start of the process. */
-function clockFrom(common: ManualClock, startedAtMs: Milliseconds): Clock {
+function processClock(shared: ManualClock, startedAtMs: Milliseconds): Clock {
   return {
-    monotonicMs: () => common.monotonicMs() - startedAtMs,
-    wallMs: () => common.wallMs(),
-    after: (delayMs, callback) => common.after(delayMs, callback),
-    every: (periodMs, callback) => common.every(periodMs, callback),
+    monotonicMs: () => shared.monotonicMs() - startedAtMs,
+    wallMs: () => shared.wallMs(),
+    after: (delayMs, callback) => shared.after(delayMs, callback),
+    every: (periodMs, callback) => shared.every(periodMs, callback),
   };
 }
 
-interface HeardAnswer {
+interface ReceivedAnswer {
   readonly attemptId: string;
   readonly answer: PlanAnswer;
 }
 
-const draw = () => 0.5;
+const random = () => 0.5;
 /** The only engine. */
 export const ENGINE = engineServer('i-1');
 
@@ -51,7 +51,7 @@
 }
 
 /** A message on its way. */
-export interface Sent {
+export interface SentMessage {
   readonly from: string;
   readonly to: number;
   readonly message: PeerMessage;
@@ -61,7 +61,7 @@
 export interface Host {
   readonly mesh: PeerMesh;
   readonly fleet: FleetView;
-  readonly inForce: ActiveConfiguration;
+  readonly activeConfiguration: ActiveConfiguration;
   readonly freshness: Freshness;
   readonly list: ServerList;
   readonly syncState: StoreSyncState;
@@ -72,13 +72,13 @@
   readonly clock: Clock;
   readonly startedAtMs: Milliseconds;
   /** Answers of planners. */
-  readonly answers: HeardAnswer[];
+  readonly answers: ReceivedAnswer[];
 }
 
 /** Hosts whose messages are delivered when the test says so. */
 export class MeshNetwork {
   readonly clock = new ManualClock();
-  readonly sent: Sent[] = [];
+  readonly sent: SentMessage[] = [];
   readonly hosts = new Map<number, Host>();
   /** What each host's store lists from its start. */
   servers: readonly BackendServer[] = [ENGINE];
@@ -88,36 +88,36 @@
   lost: (message: PeerMessage, to: string) => boolean = () => false;
   /** Hosts that others have found to be gone for good. */
   readonly gone: string[] = [];
-  #lives = 0;
+  #incarnations = 0;
 
   /** Starts a host that the store has told who is `known`. */
-  start(port: number, known: readonly number[], knowsServers = true, isListed = true): Host {
+  start(port: number, known: readonly number[], hasServerList = true, isListed = true): Host {
     const startedAtMs = this.clock.monotonicMs();
-    const clock = clockFrom(this.clock, startedAtMs);
-    const inForce = new ActiveConfiguration();
-    inForce.apply(CONFIGURATION);
+    const clock = processClock(this.clock, startedAtMs);
+    const activeConfiguration = new ActiveConfiguration();
+    activeConfiguration.apply(CONFIGURATION);
     const freshness = new Freshness(clock);
     const list = new ServerList(clock, silentLog);
     const fleet = new FleetView();
-    this.#lives += 1;
-    const knowledge = new StoreSyncState({ clock, inForce, freshness, list });
+    this.#incarnations += 1;
+    const syncState = new StoreSyncState({ clock, inForce: activeConfiguration, freshness, list });
     const own = { clock, log: silentLog, measures: new Measures(), host: addressOf(port).host };
-    const rests = new ServerBackoffs(draw);
+    const rests = new ServerBackoffs(random);
     const limits = new ServerLimits();
     const notices = new ServerNotices({ ...own, servers: list, rests, limits });
     const quarantine = new SharedQuarantine({
       ...own,
       quarantine: new Quarantine(),
     });
-    const answers: HeardAnswer[] = [];
+    const answers: ReceivedAnswer[] = [];
     const planner: Planner = new Planner({
       clock,
-      activeConfiguration: inForce,
+      activeConfiguration,
       servers: list,
       fleet,
-      random: draw,
+      random,
       limits,
-      limitPartOf: (service, isAlone) => mesh.limitPart(service, isAlone),
+      limitPartOf: (service, isFallback) => mesh.limitPart(service, isFallback),
     });
     const mesh: PeerMesh = new PeerMesh({
       clock,
@@ -127,15 +127,15 @@
           this.sent.push({ from: addressOf(port).host, to, message });
         },
       },
-      self: { ...this.addressOf(port), incarnation: `life-${String(this.#lives)}` },
+      self: { ...this.addressOf(port), incarnation: `life-${String(this.#incarnations)}` },
       fleet,
       planner,
       engineServices: () => [ENGINE_SERVICE],
       onPlan: (attemptId, answer) => {
         answers.push({ attemptId, answer });
-        placing.onPlanAnswer(attemptId, answer);
+        placement.onPlanAnswer(attemptId, answer);
       },
-      syncState: knowledge,
+      syncState,
       quarantine,
       notices,
       limits,
@@ -143,16 +143,16 @@
       onGone: (gone) => this.gone.push(gone),
     });
     const { host: name } = addressOf(port);
-    const placing = new PlacementClient({
+    const placement = new PlacementClient({
       clock,
       log: silentLog,
       host: name,
       peers: mesh,
       planner,
     });
-    if (knowsServers) list.replace(this.servers, 0, 1);
-    const beliefs = { inForce, freshness, list, syncState: knowledge, quarantine, notices, limits };
-    const host = { mesh, fleet, placement: placing, clock, ...beliefs, startedAtMs, answers };
+    if (hasServerList) list.replace(this.servers, 0, 1);
+    const state = { activeConfiguration, freshness, list, syncState, quarantine, notices, limits };
+    const host = { mesh, fleet, placement, clock, ...state, startedAtMs, answers };
     this.hosts.set(port, host);
     mesh.start();
     if (isListed) mesh.addMembers(known.map((other) => this.addressOf(other)));
--- a/packages/relay/src/peers/news.ts
+++ b/packages/relay/src/peers/news.ts
@@ -3,30 +3,35 @@
 import { diffLists, applyListDelta } from '../store/list-delta.js';
 import type { ListDelta } from '../store/list-delta.js';
 import type { ExchangeParts } from './exchange-parts.js';
-import { fromWireServer, packList, toWireServer, unpackList } from './list-on-the-wire.js';
-import { packBytes, unpackBytes } from './packed-bytes.js';
+import { fromWireServer, encodeList, toWireServer, decodeList } from './list-on-the-wire.js';
+import { compressBytes, decompressBytes } from './packed-bytes.js';
 import type { Peer } from './peer-list.js';
-import type { PeerMessage, Told, Want, WireListChange } from './peer-messages.js';
-import { PieceCollector, splitPieces } from './pieces.js';
+import type {
+  PeerMessage,
+  StateFragmentMessage,
+  StateRequestMessage,
+  ListDeltaMessage,
+} from './peer-messages.js';
+import { FragmentAssembler, splitIntoFragments } from './pieces.js';
 import type { StoreVersions, StoreSyncState } from './store-sync-state.js';
 
 /** What the exchange of news needs. */
-export interface NewsParts extends ExchangeParts {
+export interface StoreStateExchangeParts extends ExchangeParts {
   readonly log: Log;
-  readonly knowledge: StoreSyncState;
+  readonly syncState: StoreSyncState;
   /** Called when something that `host` has told was taken in. */
-  readonly onTaken: (host: string) => void;
+  readonly onApplied: (host: string) => void;
 }
 
-type Subject = Told['subject'];
+type Subject = StateFragmentMessage['subject'];
 
-interface Packed {
+interface EncodedState {
   readonly version: number;
-  readonly pieces: readonly Uint8Array[];
+  readonly fragments: readonly Uint8Array[];
 }
 
 /** A host that lacks something asks no more often than this; an answer takes a few milliseconds. */
-const WANT_AGAIN_MS: Milliseconds = 250;
+const MIN_REQUEST_INTERVAL_MS: Milliseconds = 250;
 
 /**
  * Tells hosts what the store has told. A host that reads the store tells one host of each
@@ -34,122 +39,123 @@
  * once; of the list of servers only what has changed. Whoever misses it hears of it with the next
  * heartbeat, and asks the peer that said so for the whole.
  */
-export class News {
-  readonly #collector = new PieceCollector();
+export class StoreStateExchange {
+  readonly #assembler = new FragmentAssembler();
   /** Packed once for all that want it. */
-  readonly #packed = new Map<Subject, Packed>();
-  #wantedAtMs = Number.NEGATIVE_INFINITY;
-  #toldVersion = 0;
-  #toldDigest = '';
+  readonly #encoded = new Map<Subject, EncodedState>();
+  #requestedAtMs = Number.NEGATIVE_INFINITY;
+  #publishedVersion = 0;
+  #publishedDigest = '';
 
-  constructor(readonly parts: NewsParts) {}
+  constructor(readonly parts: StoreStateExchangeParts) {}
 
   /** Tells all what this host knows and has neither told nor heard before. */
-  tell(): void {
-    const { own, listed, listedBefore } = this.parts.knowledge;
-    const isListNew = own.listDigest !== this.#toldDigest;
-    const isConfigurationNew = own.configurationVersion > this.#toldVersion;
-    this.#noteTold();
-    const zoneFirsts = this.parts.peers.firstOfOtherZones();
-    const zoneHosts = this.parts.peers.inOwnZone();
+  publish(): void {
+    const { ownVersions, listed, previousList } = this.parts.syncState;
+    const isListNew = ownVersions.listDigest !== this.#publishedDigest;
+    const isConfigurationNew = ownVersions.configurationVersion > this.#publishedVersion;
+    this.#markPublished();
+    const zoneForwarders = this.parts.peers.otherZoneForwarders();
+    const ownZonePeers = this.parts.peers.ownZonePeers();
     if (isConfigurationNew) {
-      this.#sendWhole('configuration', zoneFirsts, true);
-      this.#sendWhole('configuration', zoneHosts, false);
+      this.#sendState('configuration', zoneForwarders, true);
+      this.#sendState('configuration', ownZonePeers, false);
     }
     if (!isListNew) return;
-    const change = diffLists(listedBefore, listed, own.listDigest);
-    this.parts.send(zoneFirsts, this.#changeMessage(change, true));
-    this.parts.send(zoneHosts, this.#changeMessage(change, false));
+    const change = diffLists(previousList, listed, ownVersions.listDigest);
+    this.parts.send(zoneForwarders, this.#deltaMessage(change, true));
+    this.parts.send(ownZonePeers, this.#deltaMessage(change, false));
   }
 
   /** A peer has said what it knows; it is asked for what this host lacks. */
-  onWord(peer: Peer, word: StoreVersions): void {
-    const { clock, knowledge, selfFields } = this.parts;
-    const { own } = knowledge;
-    const isConfigurationNewer = word.configurationVersion > own.configurationVersion;
-    const isListNewer = word.listDigest !== own.listDigest && word.listVersion > own.listVersion;
+  onVersions(peer: Peer, word: StoreVersions): void {
+    const { clock, syncState, senderFields } = this.parts;
+    const { ownVersions } = syncState;
+    const isConfigurationNewer = word.configurationVersion > ownVersions.configurationVersion;
+    const isListNewer =
+      word.listDigest !== ownVersions.listDigest && word.listVersion > ownVersions.listVersion;
     if (!isConfigurationNewer && !isListNewer) return;
     const nowMs = clock.monotonicMs();
-    if (nowMs - this.#wantedAtMs < WANT_AGAIN_MS) return;
-    this.#wantedAtMs = nowMs;
-    this.parts.send([peer], { kind: 'want', ...selfFields(), ...own });
+    if (nowMs - this.#requestedAtMs < MIN_REQUEST_INTERVAL_MS) return;
+    this.#requestedAtMs = nowMs;
+    this.parts.send([peer], { kind: 'want', ...senderFields(), ...ownVersions });
   }
 
   /** Tells a peer what it lacks. */
-  onWant(peer: Peer, want: Want): void {
-    const { own } = this.parts.knowledge;
-    if (own.configurationVersion > want.configurationVersion) {
-      this.#sendWhole('configuration', [peer], false);
+  onStateRequest(peer: Peer, want: StateRequestMessage): void {
+    const { ownVersions } = this.parts.syncState;
+    if (ownVersions.configurationVersion > want.configurationVersion) {
+      this.#sendState('configuration', [peer], false);
     }
-    if (own.listDigest !== want.listDigest && own.listVersion > want.listVersion) {
-      this.#sendWhole('list', [peer], false);
+    if (ownVersions.listDigest !== want.listDigest && ownVersions.listVersion > want.listVersion) {
+      this.#sendState('list', [peer], false);
     }
   }
 
   /** Takes in a piece of what a peer tells. */
-  onTold(told: Told): void {
+  onFragment(told: StateFragmentMessage): void {
     const { host, incarnation, subject, version, index, count, bytes } = told;
-    if (this.#isKnown(subject, version)) return;
+    if (this.#isKnownVersion(subject, version)) return;
     const name = `${host} ${incarnation} ${subject} ${String(version)}`;
-    const whole = this.#collector.add({ name, index, count, bytes });
-    if (!whole || !this.#takeWhole(told, whole)) return;
-    this.parts.onTaken(host);
-    if (told.passOn) this.#sendWhole(subject, this.parts.peers.inOwnZone(), false);
+    const payload = this.#assembler.add({ name, index, count, bytes });
+    if (!payload || !this.#apply(told, payload)) return;
+    this.parts.onApplied(host);
+    if (told.passOn) this.#sendState(subject, this.parts.peers.ownZonePeers(), false);
   }
 
   /** Takes in a change of the list of servers, where this host knows the list before it. */
-  onListChange(message: WireListChange): void {
-    const { knowledge, peers } = this.parts;
-    if (message.digest === knowledge.own.listDigest) return;
+  onListDelta(message: ListDeltaMessage): void {
+    const { syncState, peers } = this.parts;
+    if (message.digest === syncState.ownVersions.listDigest) return;
     const { fromDigest, digest, version, graceMs, goneIds } = message;
     const servers = message.servers.map(fromWireServer);
     const change: ListDelta = { fromDigest, digest, version, graceMs, servers, goneIds };
-    const list = applyListDelta(knowledge.own, knowledge.listed, change);
-    if (!list || !knowledge.hearList(list)) return;
-    this.#noteTold();
-    if (message.passOn) this.parts.send(peers.inOwnZone(), this.#changeMessage(change, false));
+    const list = applyListDelta(syncState.ownVersions, syncState.listed, change);
+    if (!list || !syncState.applyList(list)) return;
+    this.#markPublished();
+    if (message.passOn) this.parts.send(peers.ownZonePeers(), this.#deltaMessage(change, false));
   }
 
-  #isKnown(subject: Subject, version: number): boolean {
-    const { configurationVersion, listVersion } = this.parts.knowledge.own;
+  #isKnownVersion(subject: Subject, version: number): boolean {
+    const { configurationVersion, listVersion } = this.parts.syncState.ownVersions;
     return version <= (subject === 'configuration' ? configurationVersion : listVersion);
   }
 
   /** False where it can't be read or is no newer than what is known. */
-  #takeWhole({ subject, version }: Told, packed: Buffer): boolean {
-    const isTaken =
+  #apply({ subject, version }: StateFragmentMessage, packed: Buffer): boolean {
+    const isApplied =
       subject === 'configuration'
-        ? this.#takeConfiguration(packed, version)
-        : this.#takeList(packed);
-    this.#noteTold();
-    if (!isTaken) this.parts.log.warn('news_not_taken', { subject, bytes: packed.length });
-    return isTaken;
+        ? this.#applyConfiguration(packed, version)
+        : this.#applyList(packed);
+    this.#markPublished();
+    if (!isApplied) this.parts.log.warn('news_not_taken', { subject, bytes: packed.length });
+    return isApplied;
   }
 
-  #takeConfiguration(packed: Buffer, version: number): boolean {
-    const bytes = unpackBytes(packed);
-    return bytes !== undefined && this.parts.knowledge.hearConfiguration(bytes, version);
+  #applyConfiguration(packed: Buffer, version: number): boolean {
+    const bytes = decompressBytes(packed);
+    return bytes !== undefined && this.parts.syncState.applyConfiguration(bytes, version);
   }
 
-  #takeList(packed: Buffer): boolean {
-    const list = unpackList(packed);
-    return list !== undefined && this.parts.knowledge.hearList(list);
+  #applyList(packed: Buffer): boolean {
+    const list = decodeList(packed);
+    return list !== undefined && this.parts.syncState.applyList(list);
   }
 
   /** What this host has told or heard is told no more. */
-  #noteTold(): void {
-    const { configurationVersion, listDigest } = this.parts.knowledge.own;
-    this.#toldVersion = configurationVersion;
-    this.#toldDigest = listDigest;
+  #markPublished(): void {
+    const { configurationVersion, listDigest } = this.parts.syncState.ownVersions;
+    this.#publishedVersion = configurationVersion;
+    this.#publishedDigest = listDigest;
   }
 
-  #changeMessage(change: ListDelta, passOn: boolean): PeerMessage {
+  #deltaMessage(change: ListDelta, passOn: boolean): PeerMessage {
     const servers = change.servers.map(toWireServer);
     const graceMs = Math.round(change.graceMs);
     const goneIds = [...change.goneIds];
     return {
       kind: 'list_change',
-      ...this.parts.selfFields(),
+      ...this.parts.senderFields(),
       ...change,
       graceMs,
       servers,
@@ -158,27 +164,30 @@
     };
   }
 
-  #sendWhole(subject: Subject, peers: readonly Peer[], passOn: boolean): void {
-    const packed = this.#pack(subject);
+  #sendState(subject: Subject, peers: readonly Peer[], passOn: boolean): void {
+    const packed = this.#encode(subject);
     if (!packed || peers.length === 0) return;
-    const { version, pieces } = packed;
-    const count = pieces.length;
-    pieces.forEach((bytes, index) => {
+    const { version, fragments } = packed;
+    const count = fragments.length;
+    fragments.forEach((bytes, index) => {
       const told = { subject, version, index, count, bytes, passOn };
-      this.parts.send(peers, { kind: 'told', ...this.parts.selfFields(), ...told });
+      this.parts.send(peers, { kind: 'told', ...this.parts.senderFields(), ...told });
     });
   }
 
-  #pack(subject: Subject): Packed | undefined {
-    const { own, listed, configurationBytes } = this.parts.knowledge;
-    const version = subject === 'configuration' ? own.configurationVersion : own.listVersion;
-    const known = this.#packed.get(subject);
+  #encode(subject: Subject): EncodedState | undefined {
+    const { ownVersions, listed, configurationBytes } = this.parts.syncState;
+    const version =
+      subject === 'configuration' ? ownVersions.configurationVersion : ownVersions.listVersion;
+    const known = this.#encoded.get(subject);
     if (known?.version === version) return known;
     const bytes =
-      subject === 'list' ? packList(listed) : configurationBytes && packBytes(configurationBytes);
+      subject === 'list'
+        ? encodeList(listed)
+        : configurationBytes && compressBytes(configurationBytes);
     if (!bytes) return undefined;
-    const packed = { version, pieces: splitPieces(bytes) };
-    this.#packed.set(subject, packed);
+    const packed = { version, fragments: splitIntoFragments(bytes) };
+    this.#encoded.set(subject, packed);
     return packed;
   }
 }
--- a/packages/relay/src/peers/packed-bytes.test.ts
+++ b/packages/relay/src/peers/packed-bytes.test.ts
@@ -1,11 +1,11 @@
 import { describe, expect, it } from 'vitest';
-import { packList, unpackList } from './list-on-the-wire.js';
-import { packBytes, unpackBytes } from './packed-bytes.js';
+import { encodeList, decodeList } from './list-on-the-wire.js';
+import { compressBytes, decompressBytes } from './packed-bytes.js';
 
 describe('packed bytes', () => {
   it('come out as they went in, however long, unless they are none of ours', () => {
     const bytes = Buffer.from('{"version":1}'.repeat(5000));
-    expect(unpackBytes(packBytes(bytes))).toEqual(bytes);
+    expect(decompressBytes(compressBytes(bytes))).toEqual(bytes);
     const random = Buffer.from(
       Array.from({ length: 30_000 }, (_unused, index) => (index * 7919) % 251),
     );
@@ -15,15 +15,15 @@
     for (let index = 0; index < noise.length; index += 1) {
       noise[index] = (Math.imul(index, 2654435761) >>> 13) & 255;
     }
-    expect(unpackBytes(packBytes(noise))).toEqual(noise);
-    expect(unpackBytes(Buffer.from('not compressed'))).toBeUndefined();
+    expect(decompressBytes(compressBytes(noise))).toEqual(noise);
+    expect(decompressBytes(Buffer.from('not compressed'))).toBeUndefined();
   });
 
   it('that are no list are passed over, and none of them ends the process', () => {
     const list = { servers: [], version: 3, graceMs: 0 };
-    expect(unpackList(packList(list))).toEqual(list);
+    expect(decodeList(encodeList(list))).toEqual(list);
     for (const bytes of [Buffer.from([0xc1]), Buffer.from([0x93, 1]), Buffer.from('text')]) {
-      expect(unpackList(packBytes(bytes))).toBeUndefined();
+      expect(decodeList(compressBytes(bytes))).toBeUndefined();
     }
   });
 });
--- a/packages/relay/src/peers/packed-bytes.ts
+++ b/packages/relay/src/peers/packed-bytes.ts
@@ -3,17 +3,17 @@
 import type { z } from 'zod';
 
 /** Nothing that a platform keeps in one row is larger. */
-const MOST_UNPACKED_BYTES = 8 * 1024 * 1024;
+const MAX_DECOMPRESSED_BYTES = 8 * 1024 * 1024;
 
 /** Compresses bytes for the way to a peer. */
-export function packBytes(bytes: Buffer): Buffer {
+export function compressBytes(bytes: Buffer): Buffer {
   return deflateRawSync(bytes);
 }
 
 /** The bytes that were compressed; undefined if these are none. */
-export function unpackBytes(packed: Uint8Array): Buffer | undefined {
+export function decompressBytes(packed: Uint8Array): Buffer | undefined {
   try {
-    return inflateRawSync(packed, { maxOutputLength: MOST_UNPACKED_BYTES });
+    return inflateRawSync(packed, { maxOutputLength: MAX_DECOMPRESSED_BYTES });
   } catch {
     return undefined;
   }
--- a/packages/relay/src/peers/peer-list.ts
+++ b/packages/relay/src/peers/peer-list.ts
@@ -1,5 +1,5 @@
 import type { Clock, Milliseconds } from '@poppypond/core';
-import type { Beat, PeerMessage } from './peer-messages.js';
+import type { Heartbeat, PeerMessage } from './peer-messages.js';
 import { rankPeers } from './peer-rank.js';
 
 /** Another host that runs a relay. */
@@ -23,7 +23,7 @@
   /** The `sentAtMs` of its last beat, on its own clock. */
   readonly lastSentAtMs: Milliseconds | undefined;
   /** Since when it was asked for a heartbeat without an answer, on this process's clock. */
-  readonly askedSinceMs: Milliseconds | undefined;
+  readonly unansweredSinceMs: Milliseconds | undefined;
   /** Whether it said that it knows what planning takes. */
   readonly canPlan: boolean;
   /** Whether it said that its way to the store is broken; true until it has said otherwise. */
@@ -33,23 +33,23 @@
 /** Without a word for this long, what a peer runs no longer counts. */
 const SILENT_AFTER_MS: Milliseconds = 2500;
 /** Hosts that read the store for all; a second one stands in at once when the first is gone. */
-const READERS = 2;
+const COORDINATORS = 2;
 /**
  * Hosts that are there but have lost the store are asked too, as one may be the first to have it
  * back; no more than these, so that an outage of the whole store does not make all ask all.
  */
-const MOST_ASKED_IN_OUTAGE = 4;
+const MAX_QUERIED_IN_OUTAGE = 4;
 /**
  * Silent hosts that are asked at first, and as many more after each period in which too few
  * answered: a host that has started after the loss of all would else ask all others.
  */
-const FIRST_REACH = 8;
+const INITIAL_SILENT_QUERIES = 8;
 /** Hosts that know the attempts of a service: one plans, the other stands in. */
-const PLANNERS = 2;
+const PLANNERS_PER_SERVICE = 2;
 /** A host that has just started learns within a heartbeat or two what others run; until then it plans last. */
-const SETTLED_AFTER_MS: Milliseconds = 1200;
+const PLANNER_WARM_UP_MS: Milliseconds = 1200;
 /** A host that stood still and hears nobody for this long is taken to be alone; answers come within 50 ms. */
-const ALONE_AFTER_MS: Milliseconds = 500;
+const ISOLATED_AFTER_MS: Milliseconds = 500;
 /** A peer that is asked and stays silent still counts for shared budgets for this long. */
 const FORGET_AFTER_MS: Milliseconds = 60_000;
 
@@ -58,13 +58,13 @@
   heardSinceMs: undefined,
   heardAtMs: undefined,
   lastSentAtMs: undefined,
-  askedSinceMs: undefined,
+  unansweredSinceMs: undefined,
   canPlan: false,
   isStoreLost: true,
 } as const;
 
 /** What a heartbeat says of its sender. */
-function saidBy({ sentAtMs, isStoreLost, capacity, availabilityZone, canPlan }: Beat) {
+function reportedBy({ sentAtMs, isStoreLost, capacity, availabilityZone, canPlan }: Heartbeat) {
   return { lastSentAtMs: sentAtMs, isStoreLost, capacity, availabilityZone, canPlan };
 }
 
@@ -76,9 +76,9 @@
   /** When it last went on after it had stood still. */
   #pausedUntilMs: Milliseconds = Number.NEGATIVE_INFINITY;
   /** Silent hosts that are asked in this period. */
-  #reach = 0;
+  #maxSilentQueries = 0;
   /** How many hosts each peer has told that it knows. */
-  readonly #told = new Map<string, number>();
+  readonly #reportedMemberCounts = new Map<string, number>();
   /** All hosts in their order; undefined after each change of who is known, how large and where. */
   #ranked: readonly PeerAddress[] | undefined;
 
@@ -131,7 +131,7 @@
   }
 
   /** Notes a message that came from `address`; true where it is the first of its process. */
-  hear(message: PeerMessage, address: string): boolean {
+  recordMessage(message: PeerMessage, address: string): boolean {
     const { host, incarnation, port } = message;
     const nowMs = this.clock.monotonicMs();
     const listed = this.#peers.get(host);
@@ -146,9 +146,9 @@
       heardSinceMs: isNew ? nowMs : known.heardSinceMs,
       heardAtMs: nowMs,
       lastSentAtMs: isNew ? undefined : known.lastSentAtMs,
-      askedSinceMs: undefined,
+      unansweredSinceMs: undefined,
     };
-    const next = message.kind === 'beat' ? { ...heard, ...saidBy(message) } : heard;
+    const next = message.kind === 'beat' ? { ...heard, ...reportedBy(message) } : heard;
     this.#peers.set(host, next);
     const isRankKept =
       next.capacity === known.capacity && next.availabilityZone === known.availabilityZone;
@@ -157,18 +157,21 @@
   }
 
   /** Notes which peers are asked for heartbeats now; the others owe none. */
-  noteAsked(hosts: ReadonlySet<string>): void {
+  recordQueried(hosts: ReadonlySet<string>): void {
     const nowMs = this.clock.monotonicMs();
     for (const peer of this.#peers.values()) {
-      const askedSinceMs = hosts.has(peer.host) ? (peer.askedSinceMs ?? nowMs) : undefined;
-      if (askedSinceMs !== peer.askedSinceMs) this.#peers.set(peer.host, { ...peer, askedSinceMs });
+      const unansweredSinceMs = hosts.has(peer.host)
+        ? (peer.unansweredSinceMs ?? nowMs)
+        : undefined;
+      if (unansweredSinceMs !== peer.unansweredSinceMs)
+        this.#peers.set(peer.host, { ...peer, unansweredSinceMs });
     }
   }
 
   /** Forgets `host`; nothing where it is not known. */
   remove(host: string): void {
     this.#peers.delete(host);
-    this.#told.delete(host);
+    this.#reportedMemberCounts.delete(host);
     this.#ranked = undefined;
   }
 
@@ -179,55 +182,55 @@
   }
 
   /** Whether it was asked and silent for so long that it counts for nothing. */
-  isForgotten({ askedSinceMs }: Peer): boolean {
-    if (askedSinceMs === undefined) return false;
-    return this.clock.monotonicMs() - askedSinceMs > FORGET_AFTER_MS;
+  isForgotten({ unansweredSinceMs }: Peer): boolean {
+    if (unansweredSinceMs === undefined) return false;
+    return this.clock.monotonicMs() - unansweredSinceMs > FORGET_AFTER_MS;
   }
 
   /** How many hosts a peer has told of lately, or are known here if that is more. */
   get memberCount(): number {
-    return Math.max(this.size + 1, ...this.#told.values());
+    return Math.max(this.size + 1, ...this.#reportedMemberCounts.values());
   }
 
   /** Notes how many hosts `host` knows. */
-  noteMembers(host: string, count: number): void {
-    this.#told.set(host, count);
+  recordMemberCount(host: string, count: number): void {
+    this.#reportedMemberCounts.set(host, count);
   }
 
   /**
    * Whether `host`, which has a sound way to the store, is one of the few that read it for all. Where
    * many that come before it have lost the store, the store itself is away, and those try again for all.
    */
-  isAmongReaders(host: string): boolean {
-    const before = this.#aliveBefore(host);
-    if (before.length >= MOST_ASKED_IN_OUTAGE) return false;
-    return before.filter(({ isStoreLost }) => !isStoreLost).length < READERS;
+  isStoreReader(host: string): boolean {
+    const before = this.#aliveRankedBefore(host);
+    if (before.length >= MAX_QUERIED_IN_OUTAGE) return false;
+    return before.filter(({ isStoreLost }) => !isStoreLost).length < COORDINATORS;
   }
 
   /** Whether this host is one of the first of all that are known, there or not. */
-  isFirstByRank(): boolean {
-    return this.#byRank().slice(0, READERS).includes(this.self);
+  isTopRanked(): boolean {
+    return this.#byRank().slice(0, COORDINATORS).includes(this.self);
   }
 
   /** The first hosts that are there, this one left out. */
-  firstOfAll(): readonly Peer[] {
-    const firsts: Peer[] = [];
+  highestRankedPeers(): readonly Peer[] {
+    const highest: Peer[] = [];
     for (const { host } of this.#byRank()) {
       const peer = this.#peers.get(host);
-      if (peer && this.isAlive(peer)) firsts.push(peer);
-      if (firsts.length === READERS) break;
+      if (peer && this.isAlive(peer)) highest.push(peer);
+      if (highest.length === COORDINATORS) break;
     }
-    return firsts;
+    return highest;
   }
 
   /** How many hosts that are there come before this one. */
   get place(): number {
-    return this.#aliveBefore(this.self.host).length;
+    return this.#aliveRankedBefore(this.self.host).length;
   }
 
   /** Whether this host is one of the first that are there, whatever they know of the store. */
-  isAmongFirst(): boolean {
-    return this.place < READERS;
+  isCoordinator(): boolean {
+    return this.place < COORDINATORS;
   }
 
   /**
@@ -235,40 +238,40 @@
    * beyond those its place among all that are known.
    */
   get turn(): number {
-    const before = this.#aliveBefore(this.self.host).length;
-    if (before < MOST_ASKED_IN_OUTAGE) return 0;
+    const before = this.#aliveRankedBefore(this.self.host).length;
+    if (before < MAX_QUERIED_IN_OUTAGE) return 0;
     const place = this.#byRank().findIndex(({ host }) => host === this.self.host);
-    return Math.max(0, place - MOST_ASKED_IN_OUTAGE + 1);
+    return Math.max(0, place - MAX_QUERIED_IN_OUTAGE + 1);
   }
 
   /** The first host of each availability zone that is there, this host's own zone left out. */
-  firstOfOtherZones(): readonly Peer[] {
-    const firsts = new Map<string, Peer>();
+  otherZoneForwarders(): readonly Peer[] {
+    const forwarders = new Map<string, Peer>();
     for (const { host } of this.#byRank()) {
       const peer = this.#peers.get(host);
       if (!peer || peer.availabilityZone === this.self.availabilityZone) continue;
-      const known = firsts.get(peer.availabilityZone);
+      const known = forwarders.get(peer.availabilityZone);
       if (!known || (!this.isAlive(known) && this.isAlive(peer)))
-        firsts.set(peer.availabilityZone, peer);
+        forwarders.set(peer.availabilityZone, peer);
     }
-    return [...firsts.values()];
+    return [...forwarders.values()];
   }
 
   /** Whether this host is the first of its availability zone, of all that are known, there or not. */
-  isFirstOfOwnZone(): boolean {
+  isOwnZoneForwarder(): boolean {
     const { availabilityZone, host } = this.self;
-    const first = this.#byRank().find((peer) => peer.availabilityZone === availabilityZone);
-    return first?.host === host;
+    const forwarder = this.#byRank().find((peer) => peer.availabilityZone === availabilityZone);
+    return forwarder?.host === host;
   }
 
   /** Known hosts of this host's availability zone, itself left out. */
-  inOwnZone(): readonly Peer[] {
+  ownZonePeers(): readonly Peer[] {
     const { availabilityZone } = this.self;
     return [...this.#peers.values()].filter((peer) => peer.availabilityZone === availabilityZone);
   }
 
   /** Peers that are there and come before `host`. */
-  #aliveBefore(host: string): readonly Peer[] {
+  #aliveRankedBefore(host: string): readonly Peer[] {
     const before: Peer[] = [];
     for (const ranked of this.#byRank()) {
       if (ranked.host === host) break;
@@ -288,73 +291,77 @@
    * `place`: of the service among all that are planned for, so that each has planners of its own.
    */
   plannersOf(place: number): readonly string[] {
-    const settled: string[] = [];
+    const ready: string[] = [];
     const others: string[] = [];
-    for (const peer of this.#fromPlace(place)) {
-      if (!this.#isHere(peer)) continue;
-      if (this.#isSettled(peer)) settled.push(peer.host);
+    for (const peer of this.#rotatedTo(place)) {
+      if (!this.#isPresent(peer)) continue;
+      if (this.#isReadyToPlan(peer)) ready.push(peer.host);
       else others.push(peer.host);
-      if (settled.length >= PLANNERS) break;
+      if (ready.length >= PLANNERS_PER_SERVICE) break;
     }
-    return [...settled, ...others].slice(0, PLANNERS);
+    return [...ready, ...others].slice(0, PLANNERS_PER_SERVICE);
   }
 
   /**
    * Peers that this host has to hear of: the first readers and planners of all services that are
    * there, and all those before them, as they may come back.
    */
-  toAsk(services: number): ReadonlySet<string> {
-    const asked = new Set<string>();
-    if (this.size === 0) return asked;
-    this.#reach = this.aliveCount > 0 ? FIRST_REACH : this.#reach + FIRST_REACH;
-    const isReader = (peer: PeerAddress) => this.#isHere(peer) && !this.#isStoreLost(peer);
-    this.#askUntil(this.#byRank(), READERS, isReader, asked);
+  peersToQuery(services: number): ReadonlySet<string> {
+    const queried = new Set<string>();
+    if (this.size === 0) return queried;
+    this.#maxSilentQueries =
+      this.aliveCount > 0
+        ? INITIAL_SILENT_QUERIES
+        : this.#maxSilentQueries + INITIAL_SILENT_QUERIES;
+    const isReader = (peer: PeerAddress) => this.#isPresent(peer) && !this.#isStoreLost(peer);
+    this.#queryUntil(this.#byRank(), COORDINATORS, isReader, queried);
     for (let place = 0; place < services; place += 1) {
-      const isPlanner = (peer: PeerAddress) => this.#isHere(peer) && this.#isSettled(peer);
-      this.#askUntil(this.#fromPlace(place), PLANNERS, isPlanner, asked);
+      const isPlanner = (peer: PeerAddress) => this.#isPresent(peer) && this.#isReadyToPlan(peer);
+      this.#queryUntil(this.#rotatedTo(place), PLANNERS_PER_SERVICE, isPlanner, queried);
     }
-    asked.delete(this.self.host);
-    return asked;
+    queried.delete(this.self.host);
+    return queried;
   }
 
-  #askUntil(
+  #queryUntil(
     ranked: readonly PeerAddress[],
     wanted: number,
-    counts: (peer: PeerAddress) => boolean,
-    asked: Set<string>,
+    qualifies: (peer: PeerAddress) => boolean,
+    queried: Set<string>,
   ): void {
     let found = 0;
-    let here = 0;
+    let present = 0;
     let silent = 0;
     for (const peer of ranked) {
-      if (found >= wanted || here >= MOST_ASKED_IN_OUTAGE || silent >= this.#reach) return;
-      asked.add(peer.host);
-      if (counts(peer)) found += 1;
-      if (this.#isHere(peer)) here += 1;
+      if (found >= wanted || present >= MAX_QUERIED_IN_OUTAGE || silent >= this.#maxSilentQueries)
+        return;
+      queried.add(peer.host);
+      if (qualifies(peer)) found += 1;
+      if (this.#isPresent(peer)) present += 1;
       else silent += 1;
     }
   }
 
-  #isHere({ host }: PeerAddress): boolean {
-    if (host === this.self.host) return !this.#isUninformed();
+  #isPresent({ host }: PeerAddress): boolean {
+    if (host === this.self.host) return !this.#isStaleAfterPause();
     const peer = this.#peers.get(host);
     return peer !== undefined && this.isAlive(peer);
   }
 
   /** Whether this process stood still, and has heard nobody since though others are known. */
-  #isUninformed(): boolean {
+  #isStaleAfterPause(): boolean {
     const sinceMs = this.#pausedUntilMs;
-    if (this.size === 0 || this.clock.monotonicMs() - sinceMs > ALONE_AFTER_MS) return false;
+    if (this.size === 0 || this.clock.monotonicMs() - sinceMs > ISOLATED_AFTER_MS) return false;
     return ![...this.#peers.values()].some(({ heardAtMs }) => (heardAtMs ?? -Infinity) > sinceMs);
   }
 
   /** Whether a host knows what planning takes, and what others run. */
-  #isSettled({ host }: PeerAddress): boolean {
+  #isReadyToPlan({ host }: PeerAddress): boolean {
     const peer = this.#peers.get(host);
     const isSelf = host === this.self.host;
     const sinceMs = isSelf ? this.#startedAtMs : peer?.heardSinceMs;
     if (sinceMs === undefined || !(isSelf ? this.canPlan() : peer?.canPlan)) return false;
-    return this.clock.monotonicMs() - sinceMs > SETTLED_AFTER_MS;
+    return this.clock.monotonicMs() - sinceMs > PLANNER_WARM_UP_MS;
   }
 
   #isStoreLost({ host }: PeerAddress): boolean {
@@ -367,9 +374,9 @@
   }
 
   /** All hosts, from those on that plan for the service at `place`; the first ones come last. */
-  #fromPlace(place: number): readonly PeerAddress[] {
+  #rotatedTo(place: number): readonly PeerAddress[] {
     const ranked = this.#byRank();
-    const from = (place * PLANNERS) % ranked.length;
+    const from = (place * PLANNERS_PER_SERVICE) % ranked.length;
     return from === 0 ? ranked : [...ranked.slice(from), ...ranked.slice(0, from)];
   }
 }
--- a/packages/relay/src/peers/peer-mesh-at-size.test.ts
+++ b/packages/relay/src/peers/peer-mesh-at-size.test.ts
@@ -55,8 +55,8 @@
       expect(list.digest).toBe(reader?.list.digest);
     }
     expect(Math.max(...bytesBy.values())).toBeLessThan(60 * 1024);
-    const whole = [...bytesBy.values()].reduce((sum, bytes) => sum + bytes, 0);
-    expect(whole).toBeLessThan(100 * 1024);
+    const totalBytes = [...bytesBy.values()].reduce((sum, bytes) => sum + bytes, 0);
+    expect(totalBytes).toBeLessThan(100 * 1024);
   });
 
   it('brings a long configuration to a host that lost pieces of it, without the store', async () => {
@@ -71,11 +71,11 @@
     );
     const newest = { ...CONFIGURATION, version: 2 };
     const heard: number[] = [];
-    for (const { inForce, syncState: knowledge } of network.hosts.values()) {
-      knowledge.onConfigurationReceived((bytes) => {
+    for (const { activeConfiguration, syncState } of network.hosts.values()) {
+      syncState.onConfigurationReceived((bytes) => {
         heard.push(bytes.length);
-        inForce.apply(newest);
-        knowledge.onConfigurationActivated(bytes);
+        activeConfiguration.apply(newest);
+        syncState.onConfigurationActivated(bytes);
       });
     }
     let told = 0;
@@ -84,35 +84,35 @@
       return message.kind === 'told' && told % 4 === 1 && told < 30;
     };
     const reader = network.hosts.get(1);
-    reader?.inForce.apply(newest);
+    reader?.activeConfiguration.apply(newest);
     reader?.syncState.onConfigurationActivated(long);
     reader?.mesh.publishStoreState();
     await network.run(2500);
     expect(heard).toEqual([long.length, long.length, long.length, long.length]);
-    for (const { syncState: knowledge } of network.hosts.values()) {
-      expect(knowledge.isConfigurationBehind).toBe(false);
+    for (const { syncState } of network.hosts.values()) {
+      expect(syncState.isConfigurationBehind).toBe(false);
     }
   });
 
   it('lets a host that has started serve as soon as it is told what holds, not a heartbeat later', async () => {
     const network = new MeshNetwork();
     for (const port of PORTS.slice(0, 4)) {
-      const { freshness, inForce, syncState: knowledge } = network.start(port, PORTS);
-      inForce.apply({ ...CONFIGURATION, version: 2 });
-      knowledge.onConfigurationActivated(Buffer.from('as it is kept'));
+      const { freshness, activeConfiguration, syncState } = network.start(port, PORTS);
+      activeConfiguration.apply({ ...CONFIGURATION, version: 2 });
+      syncState.onConfigurationActivated(Buffer.from('as it is kept'));
       freshness.confirm(0);
     }
     await network.run(1200);
     for (const { freshness, startedAtMs } of network.hosts.values()) {
       freshness.confirm(network.clock.monotonicMs() - startedAtMs);
     }
-    const { syncState: knowledge, inForce } = network.start(5, PORTS);
-    knowledge.onConfigurationReceived(() => {
-      inForce.apply({ ...CONFIGURATION, version: 2 });
+    const { syncState, activeConfiguration } = network.start(5, PORTS);
+    syncState.onConfigurationReceived(() => {
+      activeConfiguration.apply({ ...CONFIGURATION, version: 2 });
     });
     await network.run(50);
-    expect(inForce.version).toBe(2);
-    expect(knowledge.configurationAgeMs).toBeLessThan(200);
+    expect(activeConfiguration.version).toBe(2);
+    expect(syncState.configurationAgeMs).toBeLessThan(200);
   });
 
   it('says that a host is gone for good once it has left and not come back, and that none is that came', async () => {
--- a/packages/relay/src/peers/peer-mesh.test.ts
+++ b/packages/relay/src/peers/peer-mesh.test.ts
@@ -3,10 +3,10 @@
 import fc from 'fast-check';
 import { pack } from 'msgpackr';
 import { describe, expect, it } from 'vitest';
-import { unpackList } from './list-on-the-wire.js';
+import { decodeList } from './list-on-the-wire.js';
 import { CONFIGURATION, ENGINE, MeshNetwork } from './mocks/mesh-network.js';
-import type { Sent } from './mocks/mesh-network.js';
-import { packBytes } from './packed-bytes.js';
+import type { SentMessage } from './mocks/mesh-network.js';
+import { compressBytes } from './packed-bytes.js';
 import { decodeMessage } from './peer-messages.js';
 
 const PORTS = [1, 2, 3, 4, 5];
@@ -128,9 +128,9 @@
     reader?.list.replace([ENGINE, { ...ENGINE, id: 'i-2', isDraining: true }], 0, 2);
     reader?.mesh.publishStoreState();
     await network.run(50);
-    for (const { list, syncState: knowledge } of network.hosts.values()) {
+    for (const { list, syncState } of network.hosts.values()) {
       expect(list.digest).toBe(reader?.list.digest);
-      expect(knowledge.isListBehind).toBe(false);
+      expect(syncState.isListBehind).toBe(false);
     }
   });
 
@@ -138,15 +138,15 @@
     const network = new MeshNetwork();
     for (const port of PORTS) network.start(port, PORTS);
     await network.run(1000);
-    const begun: (number | undefined)[] = [];
+    const startedAgain: (number | undefined)[] = [];
     for (const { list } of network.hosts.values()) {
-      list.onNewIncarnation(({ startedAtMs: bornMs }) => begun.push(bornMs));
+      list.onNewIncarnation(({ startedAtMs }) => startedAgain.push(startedAtMs));
     }
     const reader = network.hosts.get(1);
     reader?.list.replace([{ ...ENGINE, port: 2, startedAtMs: 7 }], 0, 2);
     reader?.mesh.publishStoreState();
     await network.run(50);
-    expect(begun).toEqual(PORTS.map(() => 7));
+    expect(startedAgain).toEqual(PORTS.map(() => 7));
     for (const { list } of network.hosts.values()) {
       expect(list.available(ENGINE_SERVICE)).toEqual([{ ...ENGINE, port: 2, startedAtMs: 7 }]);
     }
@@ -175,8 +175,8 @@
   it('takes in the other servers of a list beside one that can not be used', () => {
     const wire = (id: string, port: unknown) => [id, 's', 'a', port, 'z', 1, false, null];
     const rows = [wire('i-1', 1), wire('i-2', 0), wire('i-3', '80'), 'nothing', wire('i-4', 2)];
-    const list = packBytes(pack({ version: 3, graceMs: 0, servers: rows }));
-    expect(unpackList(list)?.servers.map(({ id }) => id)).toEqual(['i-1', 'i-4']);
+    const list = compressBytes(pack({ version: 3, graceMs: 0, servers: rows }));
+    expect(decodeList(list)?.servers.map(({ id }) => id)).toEqual(['i-1', 'i-4']);
     const change = { kind: 'list_change', host: 'h', incarnation: 'l', port: 1, fromDigest: 'a' };
     const more = { digest: 'b', version: 4, graceMs: 0, servers: rows, goneIds: [], passOn: false };
     const message = decodeMessage(pack({ ...change, ...more }));
@@ -194,7 +194,7 @@
     const last = network.hosts.get(5);
     last?.syncState.onConfigurationReceived((bytes) => heard.push(bytes.toString()));
     const reader = network.hosts.get(1);
-    reader?.inForce.apply({ ...CONFIGURATION, version: 2 });
+    reader?.activeConfiguration.apply({ ...CONFIGURATION, version: 2 });
     reader?.syncState.onConfigurationActivated(Buffer.from('as it is kept'));
     reader?.mesh.publishStoreState();
     await network.run(50);
@@ -209,7 +209,8 @@
     const [first, second] = [network.hosts.get(1), network.hosts.get(2)];
     first?.list.replace([ENGINE, { ...ENGINE, id: 'i-2' }], 0, 2);
     first?.mesh.publishStoreState();
-    const isNewsToSecond = ({ to, message }: Sent) => to === 2 && message.kind === 'list_change';
+    const isNewsToSecond = ({ to, message }: SentMessage) =>
+      to === 2 && message.kind === 'list_change';
     const lost = network.sent.findIndex(isNewsToSecond);
     expect(lost).toBeGreaterThanOrEqual(0);
     network.sent.splice(lost, 1);
@@ -227,10 +228,10 @@
     for (const port of PORTS) network.start(port, PORTS);
     await network.run(1000);
     const newest = { ...CONFIGURATION, version: 2 };
-    for (const { inForce, syncState: knowledge } of network.hosts.values()) {
-      inForce.apply(newest);
-      knowledge.onConfigurationActivated(Buffer.from('as it is kept'));
-      knowledge.onStoreFailure();
+    for (const { activeConfiguration, syncState } of network.hosts.values()) {
+      activeConfiguration.apply(newest);
+      syncState.onConfigurationActivated(Buffer.from('as it is kept'));
+      syncState.onStoreFailure();
     }
     network.hosts.delete(5);
     await network.run(2500);
@@ -238,7 +239,7 @@
     const heard: string[] = [];
     started.syncState.onConfigurationReceived((bytes) => {
       heard.push(bytes.toString());
-      started.inForce.apply(newest);
+      started.activeConfiguration.apply(newest);
     });
     await network.run(1500);
     expect(heard[0]).toBe('as it is kept');
@@ -253,7 +254,7 @@
     for (const port of ports) network.start(port, ports);
     await network.run(1000);
     for (let round = 0; round < 4; round += 1) {
-      for (const { syncState: knowledge } of network.hosts.values()) knowledge.onStoreFailure();
+      for (const { syncState } of network.hosts.values()) syncState.onStoreFailure();
       await network.run(500);
     }
     network.sent.length = 0;
--- a/packages/relay/src/peers/peer-mesh.ts
+++ b/packages/relay/src/peers/peer-mesh.ts
@@ -12,18 +12,18 @@
 import type { Planner } from '../planning/planner.js';
 import type { SharedQuarantine } from '../quarantine/shared-quarantine.js';
 import type { ServerNotices } from '../notices/server-notices.js';
-import { AttemptNews } from './attempt-news.js';
-import { Beats } from './beats.js';
+import { AttemptExchange } from './attempt-news.js';
+import { HeartbeatExchange } from './beats.js';
 import { DepartedHosts } from './departed-hosts.js';
-import { LeavingNews } from './leaving-news.js';
-import { LimitNews } from './limit-news.js';
-import { MessageIntake } from './message-intake.js';
-import { News } from './news.js';
+import { LeavingExchange } from './leaving-news.js';
+import { LimitExchange } from './limit-news.js';
+import { MessageDispatcher } from './message-intake.js';
+import { StoreStateExchange } from './news.js';
 import { PeerList } from './peer-list.js';
 import type { Peer, PeerAddress } from './peer-list.js';
 import type { PeerMessage, WireMember } from './peer-messages.js';
-import { QuarantineNews } from './quarantine-news.js';
-import type { SelfFields } from './self-fields.js';
+import { QuarantineExchange } from './quarantine-news.js';
+import type { SenderFields } from './self-fields.js';
 import type { StoreSyncState } from './store-sync-state.js';
 
 /** Sends one message to a peer; may lose it. */
@@ -57,8 +57,8 @@
  * Of a limit, given out in place of a first host that is silent, and by all that hear nobody together: whether it is
  * gone, or gives still, is not known. With the whole that it may give that is one and a half times the limit.
  */
-const STAND_IN_SHARE = 0.3;
-const ALONE_SHARE = 0.2;
+const STANDBY_SHARE = 0.3;
+const FALLBACK_SHARE = 0.2;
 
 /**
  * Speaks with the few hosts that read the store and plan for all, and is one of them where its
@@ -67,65 +67,70 @@
  */
 export class PeerMesh implements PlannerPeers {
   readonly #peers: PeerList;
-  readonly #news: News;
-  readonly #quarantineNews: QuarantineNews;
-  readonly #leavingNews: LeavingNews;
-  readonly #limitNews: LimitNews;
-  readonly #attempts: AttemptNews;
-  readonly #beats: Beats;
-  readonly #intake: MessageIntake;
+  readonly #storeState: StoreStateExchange;
+  readonly #quarantineExchange: QuarantineExchange;
+  readonly #leavingExchange: LeavingExchange;
+  readonly #limitExchange: LimitExchange;
+  readonly #attempts: AttemptExchange;
+  readonly #heartbeats: HeartbeatExchange;
+  readonly #dispatcher: MessageDispatcher;
   /** Hosts that were heard and not known before; others are told of them with the next heartbeat. */
   readonly #newcomers = new Set<string>();
   readonly #departed: DepartedHosts;
   #cancel: CancelTimer = () => undefined;
   #isStopped = false;
-  #isListRead = false;
+  #areMembersKnown = false;
 
   constructor(readonly parts: PeerMeshParts) {
     this.#peers = new PeerList(parts.clock, parts.self, () => parts.planner.canPlan);
     this.#departed = new DepartedHosts(parts.clock);
-    const { clock, log, self, fleet, planner, syncState: knowledge, quarantine } = parts;
+    const { clock, log, self, fleet, planner, syncState, quarantine } = parts;
     const { engineServices, limits, notices } = parts;
-    const shared = {
+    const exchangeParts = {
       clock,
       peers: this.#peers,
       send: (peers: readonly Peer[], message: PeerMessage) => {
         this.#sendAll(peers, message);
       },
-      selfFields: () => this.#selfFields(),
+      senderFields: () => this.#senderFields(),
     };
-    const onTaken = (host: string) => {
-      this.#beats.askForProof(host);
+    const onApplied = (host: string) => {
+      this.#heartbeats.requestConfirmation(host);
     };
-    this.#news = new News({ ...shared, log, knowledge, onTaken });
-    this.#quarantineNews = new QuarantineNews({ ...shared, quarantine });
-    this.#leavingNews = new LeavingNews({ ...shared, notices });
-    this.#limitNews = new LimitNews({ ...shared, notices, limits });
-    const work = { fleet, planner, knowledge, limitNews: this.#limitNews };
-    this.#attempts = new AttemptNews({ ...shared, ...work, host: self.host, engineServices });
-    this.#beats = new Beats({
-      ...shared,
-      ...work,
+    this.#storeState = new StoreStateExchange({ ...exchangeParts, log, syncState, onApplied });
+    this.#quarantineExchange = new QuarantineExchange({ ...exchangeParts, quarantine });
+    this.#leavingExchange = new LeavingExchange({ ...exchangeParts, notices });
+    this.#limitExchange = new LimitExchange({ ...exchangeParts, notices, limits });
+    const planningParts = { fleet, planner, syncState, limitExchange: this.#limitExchange };
+    this.#attempts = new AttemptExchange({
+      ...exchangeParts,
+      ...planningParts,
+      host: self.host,
+      engineServices,
+    });
+    this.#heartbeats = new HeartbeatExchange({
+      ...exchangeParts,
+      ...planningParts,
       self,
-      quarantineNews: this.#quarantineNews,
+      quarantineExchange: this.#quarantineExchange,
       engineServiceCount: () => engineServices().length,
       isPlanner: (host) => this.#attempts.isPlanner(host),
     });
-    this.#intake = new MessageIntake({
-      ...shared,
-      ...work,
-      beats: this.#beats,
-      news: this.#news,
+    this.#dispatcher = new MessageDispatcher({
+      ...exchangeParts,
+      ...planningParts,
+      heartbeats: this.#heartbeats,
+      news: this.#storeState,
       attempts: this.#attempts,
-      quarantineNews: this.#quarantineNews,
-      leavingNews: this.#leavingNews,
+      quarantineExchange: this.#quarantineExchange,
+      leavingExchange: this.#leavingExchange,
       onPlan: parts.onPlan,
       onMembers: (members) => {
-        this.#takeMembers(members);
+        this.#addReportedMembers(members);
       },
       onLeft: (host) => {
         this.#departed.onLeft(host);
-        this.#forget(host, 'left');
+        this.#removePeer(host, 'left');
       },
     });
   }
@@ -134,7 +139,7 @@
   isReader(): boolean {
     const { host } = this.parts.self;
     if (this.parts.syncState.isStoreLost) return false;
-    return this.#peers.isAmongReaders(host);
+    return this.#peers.isStoreReader(host);
   }
 
   /** How many hosts come before this one where the store is to be tried again; 0 for the first few. */
@@ -144,12 +149,12 @@
 
   /** Tells all known hosts what the store has told. */
   publishStoreState(): void {
-    this.#news.tell();
+    this.#storeState.publish();
   }
 
   /** Begins to send heartbeats. */
   start(): void {
-    this.#beats.askAll();
+    this.#heartbeats.requestFromPeers();
     this.#cancel = this.parts.clock.every(this.parts.heartbeatPeriodMs, () => {
       this.#tick();
     });
@@ -160,17 +165,17 @@
    * the first hosts greets all, as those that came before it may take others for the first.
    */
   addMembers(known: readonly PeerAddress[]): void {
-    this.#isListRead = true;
+    this.#areMembersKnown = true;
     const added = known.filter((peer) => this.#add(peer));
-    this.#beats.askAll();
-    if (!this.#peers.isFirstByRank()) return;
-    for (const { host } of added) this.#beats.send(host, true);
+    this.#heartbeats.requestFromPeers();
+    if (!this.#peers.isTopRanked()) return;
+    for (const { host } of added) this.#heartbeats.send(host, true);
   }
 
   /** This process stood still: it asks at once what holds, and plans for nobody until it has heard others. */
   onPause(): void {
     this.#peers.onPause();
-    this.#beats.askAll();
+    this.#heartbeats.requestFromPeers();
   }
 
   /** Tells all hosts heard lately that this one leaves; sends and takes in nothing afterwards. */
@@ -178,25 +183,25 @@
     if (this.#isStopped) return;
     this.#cancel();
     this.#isStopped = true;
-    this.#sendAll(this.#peers.alive(), { kind: 'leave', ...this.#selfFields() });
+    this.#sendAll(this.#peers.alive(), { kind: 'leave', ...this.#senderFields() });
   }
 
   /** Hosts that share budgets with this one, itself included; infinite while that is not known. */
   get hostCount(): number {
-    return this.#isListRead ? this.#peers.memberCount : Number.POSITIVE_INFINITY;
+    return this.#areMembersKnown ? this.#peers.memberCount : Number.POSITIVE_INFINITY;
   }
 
   /**
    * What this host may give out of the limits of servers of a service. The first in rank gives for the part of the listed
    * hosts that it hears, so that halves that are cut apart, which each have a first, keep the sum.
    */
-  limitPart(service: string, isAlone: boolean): LimitPart {
+  limitPart(service: string, isFallback: boolean): LimitPart {
     const hosts = this.hostCount;
-    if (isAlone) return { role: 'alone', share: ALONE_SHARE / hosts };
+    if (isFallback) return { role: 'alone', share: FALLBACK_SHARE / hosts };
     const heardShare = (this.#peers.aliveCount + 1) / hosts;
     const isFirst = this.plannersOf(service)[0] === this.parts.self.host;
     if (isFirst) return { role: 'first', share: heardShare };
-    return { role: 'stand_in', share: STAND_IN_SHARE * heardShare };
+    return { role: 'stand_in', share: STANDBY_SHARE * heardShare };
   }
 
   /** Peers heard from lately. */
@@ -226,7 +231,7 @@
 
   /** The first event of an attempt has come. `service`: undefined where planners need not know. */
   onPrefillDone(attemptId: string, service: string | undefined): void {
-    this.#attempts.onReadDone(attemptId, service);
+    this.#attempts.onPrefillDone(attemptId, service);
   }
 
   /** An attempt is over, or won't begin. */
@@ -241,29 +246,29 @@
 
   /** Has all hosts that choose among servers of its service leave out one that is gone. */
   broadcastServerGone(server: BackendServer): void {
-    this.#attempts.tellGone(server);
+    this.#attempts.broadcastServerGone(server);
   }
 
   /** Takes in one message; `address` is where it came from. */
   receive(message: PeerMessage, address: string): void {
     if (this.#isStopped || message.host === this.parts.self.host) return;
-    this.#hear(message, address);
-    this.#intake.take(message);
+    this.#recordMessage(message, address);
+    this.#dispatcher.dispatch(message);
   }
 
-  #hear(message: PeerMessage, address: string): void {
+  #recordMessage(message: PeerMessage, address: string): void {
     const { host, incarnation } = message;
     this.#departed.onHeard(host);
     if (this.#peers.find(host)?.address !== address) this.#newcomers.add(host);
-    if (!this.#peers.hear(message, address)) return;
+    if (!this.#peers.recordMessage(message, address)) return;
     this.parts.fleet.dropHost(host);
     this.parts.log.info('peer_heard', { peer: host, address, incarnation });
     // A heartbeat says all, and is answered where it asks.
-    if (message.kind !== 'beat') this.#beats.send(host, true);
+    if (message.kind !== 'beat') this.#heartbeats.send(host, true);
   }
 
   /** Adds hosts that a peer has told of; what they say of themselves goes first. */
-  #takeMembers(members: readonly WireMember[]): void {
+  #addReportedMembers(members: readonly WireMember[]): void {
     for (const [host, address, port, availabilityZone, capacity] of members) {
       this.#add({ host, address, port, availabilityZone, capacity });
     }
@@ -279,34 +284,34 @@
     this.parts.quarantine.expire();
     for (const peer of this.#peers.all()) {
       if (this.#peers.isForgotten(peer)) {
-        this.#forget(peer.host, 'silent');
-        this.#onGone(peer.host);
+        this.#removePeer(peer.host, 'silent');
+        this.#reportGone(peer.host);
       } else if (!this.#peers.isAlive(peer)) this.parts.fleet.dropHost(peer.host);
     }
-    this.#beats.askAll();
-    this.#tellNewcomers();
-    for (const host of this.#departed.takeGone()) this.#onGone(host);
+    this.#heartbeats.requestFromPeers();
+    this.#announceNewcomers();
+    for (const host of this.#departed.takePermanentlyGone()) this.#reportGone(host);
   }
 
   /** One of the first hosts says who is gone, unless it may itself be the one that is cut off. */
-  #onGone(host: string): void {
-    const hearsMost = this.#peers.aliveCount * 2 >= this.#peers.size;
-    if (this.#peers.isAmongFirst() && hearsMost) this.parts.onGone(host);
+  #reportGone(host: string): void {
+    const hearsFromMost = this.#peers.aliveCount * 2 >= this.#peers.size;
+    if (this.#peers.isCoordinator() && hearsFromMost) this.parts.onGone(host);
   }
 
   /** One of the first hosts, which all others ask, tells all of those that have come. */
-  #tellNewcomers(): void {
+  #announceNewcomers(): void {
     const newcomers = [...this.#newcomers].flatMap((host) => this.#peers.find(host) ?? []);
     this.#newcomers.clear();
-    if (newcomers.length === 0 || !this.#peers.isAmongFirst()) return;
+    if (newcomers.length === 0 || !this.#peers.isCoordinator()) return;
     const members = newcomers.map(({ host, address, port, availabilityZone, capacity }) => {
       const member: WireMember = [host, address, port, availabilityZone, capacity];
       return member;
     });
-    this.#sendAll([...this.#peers.all()], { kind: 'members', ...this.#selfFields(), members });
+    this.#sendAll([...this.#peers.all()], { kind: 'members', ...this.#senderFields(), members });
   }
 
-  #forget(host: string, why: 'left' | 'silent'): void {
+  #removePeer(host: string, why: 'left' | 'silent'): void {
     this.#peers.remove(host);
     this.parts.fleet.dropHost(host);
     this.parts.log.info('peer_forgotten', { peer: host, why });
@@ -316,7 +321,7 @@
     for (const peer of peers) this.parts.sender.send(peer.address, peer.port, message);
   }
 
-  #selfFields(): SelfFields {
+  #senderFields(): SenderFields {
     const { host, incarnation, port } = this.parts.self;
     return { host, incarnation, port };
   }
--- a/packages/relay/src/peers/peer-messages.ts
+++ b/packages/relay/src/peers/peer-messages.ts
@@ -1,10 +1,10 @@
 import { pack } from 'msgpackr';
 import { z } from 'zod';
 import { decodeAs } from './packed-bytes.js';
-import { answerSchema, askSchema, limitSchema, serverSchema } from './plan-messages.js';
+import { planAnswerSchema, planRequestSchema, limitSchema, serverSchema } from './plan-messages.js';
 
 /** An attempt as it is told to peers: durations in place of instants of the sender's clock. */
-const useSchema = z.tuple([
+const attemptUseSchema = z.tuple([
   z.string().describe('attempt'),
   z.string().describe('writer'),
   z.array(z.string()).describe('readers'),
@@ -17,33 +17,33 @@
   z.array(z.tuple([z.string(), z.number()])).describe('memory held, by engine'),
 ]);
 
-const hostFields = {
+const senderShape = {
   host: z.string(),
   /** New with each start of the process. */
   incarnation: z.string(),
   port: z.number(),
 };
 
-const serverEndSchema = z.tuple([
+const terminationSchema = z.tuple([
   z.string().min(1).describe('server'),
   z.string().min(1).describe('host that found it'),
   z.number().min(0).describe('ago'),
 ]);
-const MOST_ENDS_TOLD = 3;
+const MAX_REPORTED_TERMINATIONS = 3;
 /** A request under which servers ended: durations in place of instants of the sender's clock. */
-const quarantineSchema = z.tuple([
+const quarantineEntrySchema = z.tuple([
   z.string().min(1).describe('content'),
   z.int().min(0).describe('round'),
   z.int().min(0).describe('ends'),
   z.number().min(0).describe('held for'),
   z.number().min(0).describe('changed ago'),
-  z.array(serverEndSchema).max(MOST_ENDS_TOLD).describe('last ends'),
+  z.array(terminationSchema).max(MAX_REPORTED_TERMINATIONS).describe('last ends'),
 ]);
 
 /** Sent every half second and as an answer to a new peer; holds all that the sender runs. */
-const beatSchema = z.object({
+const heartbeatSchema = z.object({
   kind: z.literal('beat'),
-  ...hostFields,
+  ...senderShape,
   /** The sender's clock. */
   sentAtMs: z.number(),
   /** The last beat that the sender got from the receiver: whose life sent it, and its `sentAtMs`. */
@@ -66,9 +66,9 @@
   /** Whether the sender knows the configuration and the servers, without which nobody can plan. */
   canPlan: z.boolean(),
   /** All that the sender runs; null where the receiver need not know. */
-  uses: z.array(useSchema).nullable(),
+  uses: z.array(attemptUseSchema).nullable(),
   /** Some of the requests that the sender knows to have ended servers; a release before this says nothing of it. */
-  quarantine: z.array(quarantineSchema).default([]),
+  quarantine: z.array(quarantineEntrySchema).default([]),
   /** Some of the limits that servers name; a release before this says nothing of it. */
   limits: z.array(limitSchema).default([]),
 });
@@ -76,34 +76,38 @@
 /** Sent to planners when an attempt begins. */
 const beginSchema = z.object({
   kind: z.literal('begin'),
-  ...hostFields,
-  use: useSchema,
+  ...senderShape,
+  use: attemptUseSchema,
 });
 /** Sent to the planner of a service. */
-const askMessageSchema = z.object({ kind: z.literal('ask'), ...hostFields, ask: askSchema });
+const planRequestMessageSchema = z.object({
+  kind: z.literal('ask'),
+  ...senderShape,
+  ask: planRequestSchema,
+});
 /** Sent by a planner to the host that asked. */
-const planMessageSchema = z.object({
+const planAnswerMessageSchema = z.object({
   kind: z.literal('plan'),
-  ...hostFields,
+  ...senderShape,
   attempt: z.string(),
-  answer: answerSchema,
+  answer: planAnswerSchema,
 });
 /** Sent to a planner when a request won't run by its plan. */
 const withdrawSchema = z.object({
   kind: z.literal('withdraw'),
-  ...hostFields,
+  ...senderShape,
   attempt: z.string(),
 });
 /** Sent to planners when the first event of a long read has come, and when an attempt has ended. */
-const changeSchema = z.object({
+const attemptProgressSchema = z.object({
   kind: z.enum(['read', 'end']),
-  ...hostFields,
+  ...senderShape,
   attempt: z.string(),
 });
 /** Sent when a server was found silent or unreachable. */
 const suspectSchema = z.object({
   kind: z.literal('suspect'),
-  ...hostFields,
+  ...senderShape,
   server: z.string(),
   forMs: z.number(),
 });
@@ -115,7 +119,11 @@
   }),
 );
 /** Sent when another server was found at the address of a listed one. */
-const goneSchema = z.object({ kind: z.literal('gone'), ...hostFields, server: serverSchema });
+const serverGoneSchema = z.object({
+  kind: z.literal('gone'),
+  ...senderShape,
+  server: serverSchema,
+});
 
 const bytesSchema = z.custom<Uint8Array>((value) => value instanceof Uint8Array);
 
@@ -123,9 +131,9 @@
  * One piece of the configuration or of the list of servers, compressed. Sent by a host that reads
  * the store when it has changed, and to whoever wants it.
  */
-const toldSchema = z.object({
+const stateFragmentSchema = z.object({
   kind: z.literal('told'),
-  ...hostFields,
+  ...senderShape,
   subject: z.enum(['configuration', 'list']),
   version: z.number(),
   index: z.number(),
@@ -135,9 +143,9 @@
   passOn: z.boolean(),
 });
 /** What has changed in the list of servers, sent in place of the whole. */
-const listChangeSchema = z.object({
+const listDeltaSchema = z.object({
   kind: z.literal('list_change'),
-  ...hostFields,
+  ...senderShape,
   /** Stands for the list that is changed. */
   fromDigest: z.string(),
   /** Stands for the changed list. */
@@ -150,9 +158,9 @@
   passOn: z.boolean(),
 });
 /** Asks a peer that knows more for the whole of it. */
-const wantSchema = z.object({
+const stateRequestSchema = z.object({
   kind: z.literal('want'),
-  ...hostFields,
+  ...senderShape,
   configurationVersion: z.number(),
   listDigest: z.string(),
   listVersion: z.number(),
@@ -160,7 +168,7 @@
 /** Hosts that have come lately, told to all that may not have heard of them. */
 const membersSchema = z.object({
   kind: z.literal('members'),
-  ...hostFields,
+  ...senderShape,
   members: z.array(
     z.tuple([
       z.string().describe('host'),
@@ -174,15 +182,15 @@
 /** Sent when a server has ended under a request, or one was served under which servers had ended. */
 const quarantineMessageSchema = z.object({
   kind: z.literal('quarantine'),
-  ...hostFields,
-  entries: z.array(quarantineSchema),
+  ...senderShape,
+  entries: z.array(quarantineEntrySchema),
   /** Whether the receiver passes on what is news to it within its availability zone. */
   passOn: z.boolean(),
 });
 /** Sent when a server has said that it leaves. */
-const leavingSchema = z.object({
+const serverLeavingSchema = z.object({
   kind: z.literal('leaving'),
-  ...hostFields,
+  ...senderShape,
   server: serverSchema,
   /** Time since it said so first. */
   agoMs: z.number().min(0),
@@ -192,55 +200,55 @@
 /** Sent when servers name limits, change them or name them no more. */
 const limitsMessageSchema = z.object({
   kind: z.literal('limits'),
-  ...hostFields,
+  ...senderShape,
   limits: z.array(limitSchema),
   /** Whether the receiver passes on what is news to it within its availability zone. */
   passOn: z.boolean(),
 });
 /** Sent on a planned stop. */
-const leaveSchema = z.object({ kind: z.literal('leave'), ...hostFields });
+const hostLeavingSchema = z.object({ kind: z.literal('leave'), ...senderShape });
 
 const messageSchema = z.union([
-  beatSchema,
+  heartbeatSchema,
   beginSchema,
-  askMessageSchema,
-  planMessageSchema,
+  planRequestMessageSchema,
+  planAnswerMessageSchema,
   withdrawSchema,
-  changeSchema,
+  attemptProgressSchema,
   suspectSchema,
-  goneSchema,
-  toldSchema,
-  listChangeSchema,
-  wantSchema,
+  serverGoneSchema,
+  stateFragmentSchema,
+  listDeltaSchema,
+  stateRequestSchema,
   membersSchema,
   quarantineMessageSchema,
-  leavingSchema,
+  serverLeavingSchema,
   limitsMessageSchema,
-  leaveSchema,
+  hostLeavingSchema,
 ]);
 
 /** A message between relays. */
 export type PeerMessage = z.infer<typeof messageSchema>;
 /** The heartbeat of a relay. */
-export type Beat = z.infer<typeof beatSchema>;
+export type Heartbeat = z.infer<typeof heartbeatSchema>;
 /** One piece of what a host tells. */
-export type Told = z.infer<typeof toldSchema>;
+export type StateFragmentMessage = z.infer<typeof stateFragmentSchema>;
 /** A change of the list of servers on its way. */
-export type WireListChange = z.infer<typeof listChangeSchema>;
+export type ListDeltaMessage = z.infer<typeof listDeltaSchema>;
 /** A question for what its sender does not know. */
-export type Want = z.infer<typeof wantSchema>;
+export type StateRequestMessage = z.infer<typeof stateRequestSchema>;
 /** A host on its way. */
 export type WireMember = z.infer<typeof membersSchema>['members'][number];
 /** A request under which servers ended, on its way. */
-export type WireQuarantine = z.infer<typeof quarantineSchema>;
+export type WireQuarantineEntry = z.infer<typeof quarantineEntrySchema>;
 /** What a host tells of such requests at once. */
-export type ToldQuarantine = z.infer<typeof quarantineMessageSchema>;
+export type QuarantineMessage = z.infer<typeof quarantineMessageSchema>;
 /** What a host tells of a server that leaves. */
-export type ToldLeaving = z.infer<typeof leavingSchema>;
+export type ServerLeavingMessage = z.infer<typeof serverLeavingSchema>;
 /** What a host tells of limits at once. */
-export type ToldLimits = z.infer<typeof limitsMessageSchema>;
+export type LimitsMessage = z.infer<typeof limitsMessageSchema>;
 /** An attempt on the way to a peer. */
-export type WireUse = z.infer<typeof useSchema>;
+export type WireAttemptUse = z.infer<typeof attemptUseSchema>;
 
 /** Encodes a message as one datagram. */
 export function encodeMessage(message: PeerMessage): Buffer {
--- a/packages/relay/src/peers/peer-rank.ts
+++ b/packages/relay/src/peers/peer-rank.ts
@@ -6,16 +6,16 @@
 }
 
 /** How many hosts as large as each come before it in its availability zone, by host. */
-function placesInZone(sorted: readonly PeerAddress[]): ReadonlyMap<string, number> {
+function zoneRanksOf(sorted: readonly PeerAddress[]): ReadonlyMap<string, number> {
   const seen = new Map<string, number>();
-  const places = new Map<string, number>();
+  const zoneRanks = new Map<string, number>();
   for (const { host, availabilityZone, capacity } of sorted) {
     const group = `${availabilityZone} ${String(capacity)}`;
     const place = seen.get(group) ?? 0;
-    places.set(host, place);
+    zoneRanks.set(host, place);
     seen.set(group, place + 1);
   }
-  return places;
+  return zoneRanks;
 }
 
 /**
@@ -26,9 +26,9 @@
  */
 export function rankPeers(peers: readonly PeerAddress[]): readonly PeerAddress[] {
   const sorted = [...peers].sort(byCapacityAndName);
-  const places = placesInZone(sorted);
-  const placeOf = ({ host }: PeerAddress) => places.get(host) ?? 0;
+  const zoneRanks = zoneRanksOf(sorted);
+  const zoneRankOf = ({ host }: PeerAddress) => zoneRanks.get(host) ?? 0;
   return sorted.sort((left, right) =>
-    left.capacity === right.capacity ? placeOf(left) - placeOf(right) : 0,
+    left.capacity === right.capacity ? zoneRankOf(left) - zoneRankOf(right) : 0,
   );
 }
--- a/packages/relay/src/peers/pieces.ts
+++ b/packages/relay/src/peers/pieces.ts
@@ -1,17 +1,17 @@
 /** A datagram holds 64 KB; what is larger than this goes in several. */
-const PIECE_BYTES = 16 * 1024;
+const FRAGMENT_BYTES = 16 * 1024;
 
 /** Splits bytes into pieces that fit one datagram each; at least one. */
-export function splitPieces(bytes: Uint8Array): readonly Uint8Array[] {
-  const pieces: Uint8Array[] = [];
-  for (let from = 0; from < bytes.length || from === 0; from += PIECE_BYTES) {
-    pieces.push(bytes.subarray(from, from + PIECE_BYTES));
+export function splitIntoFragments(bytes: Uint8Array): readonly Uint8Array[] {
+  const fragments: Uint8Array[] = [];
+  for (let from = 0; from < bytes.length || from === 0; from += FRAGMENT_BYTES) {
+    fragments.push(bytes.subarray(from, from + FRAGMENT_BYTES));
   }
-  return pieces;
+  return fragments;
 }
 
 /** One of the pieces of something. */
-export interface Piece {
+export interface Fragment {
   /** Names what it is a piece of. */
   readonly name: string;
   readonly index: number;
@@ -20,31 +20,32 @@
 }
 
 /** Things of which pieces are kept; older ones are given up, as they are asked for again. */
-const MOST_OPEN = 4;
+const MAX_INCOMPLETE = 4;
 /** The most pieces of one thing: what a platform keeps in one row fits. */
-const MOST_PIECES = 512;
+const MAX_FRAGMENTS = 512;
 
 /** Puts pieces together that come in any order, more than once, or not at all. */
-export class PieceCollector {
-  readonly #open = new Map<string, Map<number, Uint8Array>>();
+export class FragmentAssembler {
+  readonly #incomplete = new Map<string, Map<number, Uint8Array>>();
 
   /** Takes one piece; the whole once all are there, else undefined. */
-  add({ name, index, count, bytes }: Piece): Buffer | undefined {
-    if (count > MOST_PIECES || index >= count) return undefined;
-    const pieces = this.#open.get(name) ?? new Map<number, Uint8Array>();
-    pieces.set(index, bytes);
-    this.#open.delete(name);
-    if (pieces.size < count) {
-      this.#open.set(name, pieces);
+  add({ name, index, count, bytes }: Fragment): Buffer | undefined {
+    if (count > MAX_FRAGMENTS || index >= count) return undefined;
+    const fragments = this.#incomplete.get(name) ?? new Map<number, Uint8Array>();
+    fragments.set(index, bytes);
+    this.#incomplete.delete(name);
+    if (fragments.size < count) {
+      this.#incomplete.set(name, fragments);
       this.#dropOldest();
       return undefined;
     }
-    const inOrder = [...pieces].sort(([left], [right]) => left - right);
-    return Buffer.concat(inOrder.map(([, piece]) => piece));
+    const inOrder = [...fragments].sort(([left], [right]) => left - right);
+    return Buffer.concat(inOrder.map(([, fragment]) => fragment));
   }
 
   #dropOldest(): void {
-    const [oldest] = this.#open.keys();
-    if (this.#open.size > MOST_OPEN && oldest !== undefined) this.#open.delete(oldest);
+    const [oldest] = this.#incomplete.keys();
+    if (this.#incomplete.size > MAX_INCOMPLETE && oldest !== undefined)
+      this.#incomplete.delete(oldest);
   }
 }
--- a/packages/relay/src/peers/plan-messages.ts
+++ b/packages/relay/src/peers/plan-messages.ts
@@ -1,13 +1,13 @@
 import { PLACEMENT_RULES } from '@poppypond/fleet';
 import { z } from 'zod';
 
-const LAST_PORT = 65_535;
+const MAX_PORT = 65_535;
 /** A backend server as it is told to peers. */
 export const serverSchema = z.tuple([
   z.string().min(1).describe('id'),
   z.string().min(1).describe('service'),
   z.string().min(1).describe('address'),
-  z.int().min(1).max(LAST_PORT).describe('port'),
+  z.int().min(1).max(MAX_PORT).describe('port'),
   z.string().describe('availability zone'),
   z.int().positive().describe('slots'),
   z.boolean().describe('is draining'),
@@ -22,7 +22,7 @@
 ]);
 
 /** What a host asks of a planner: durations in place of instants of the sender's clock. */
-export const askSchema = z.object({
+export const planRequestSchema = z.object({
   attempt: z.string(),
   request: z.string(),
   service: z.string(),
@@ -52,7 +52,7 @@
 const ruleSchema = z.enum(PLACEMENT_RULES);
 
 /** What a planner answers. */
-export const answerSchema = z.discriminatedUnion('kind', [
+export const planAnswerSchema = z.discriminatedUnion('kind', [
   z.object({
     kind: z.literal('place'),
     stream: z.object({
@@ -82,6 +82,6 @@
 /** What a server said of a limit, on its way. */
 export type WireLimit = z.infer<typeof limitSchema>;
 /** A planner's answer on its way. */
-export type WireAnswer = z.infer<typeof answerSchema>;
+export type WirePlanAnswer = z.infer<typeof planAnswerSchema>;
 /** A question to a planner on its way. */
-export type WireAsk = z.infer<typeof askSchema>;
+export type WirePlanRequest = z.infer<typeof planRequestSchema>;
--- a/packages/relay/src/peers/quarantine-news.test.ts
+++ b/packages/relay/src/peers/quarantine-news.test.ts
@@ -11,14 +11,14 @@
 }
 
 function network(count: number, zones = 1): MeshNetwork {
-  const made = new MeshNetwork();
-  made.zones = zones;
-  for (const port of ports(count)) made.start(port, ports(count));
-  return made;
+  const meshNetwork = new MeshNetwork();
+  meshNetwork.zones = zones;
+  for (const port of ports(count)) meshNetwork.start(port, ports(count));
+  return meshNetwork;
 }
 
 /** A server ends under a run that begins now. */
-function endUnder(host: Host | undefined, content = CONTENT): void {
+function terminateServer(host: Host | undefined, content = CONTENT): void {
   host?.quarantine.onTermination(content, host.quarantine.historyOf(content), 'i-1');
 }
 
@@ -36,7 +36,7 @@
     const hosts = network(count, zones);
     await hosts.run(2000);
     for (const port of [count, 1, count - 1]) {
-      endUnder(hosts.hosts.get(port));
+      terminateServer(hosts.hosts.get(port));
       await hosts.run(200);
     }
     expect(holders(hosts)).toBe(count);
@@ -51,7 +51,7 @@
       if (kind === 'quarantine') messages += 1;
       return false;
     };
-    for (let index = 0; index < 3; index += 1) endUnder(hosts.hosts.get(30));
+    for (let index = 0; index < 3; index += 1) terminateServer(hosts.hosts.get(30));
     await hosts.run(300);
     expect(holders(hosts)).toBe(60);
     // Three changes are told at once: to the first two, by each of them to all, once.
@@ -69,7 +69,7 @@
       drawn = (drawn * 16_807) % 2_147_483_647;
       return kind === 'quarantine' || drawn % 10 < 4;
     };
-    for (let index = 0; index < 3; index += 1) endUnder(hosts.hosts.get(9));
+    for (let index = 0; index < 3; index += 1) terminateServer(hosts.hosts.get(9));
     await hosts.run(3000);
     expect(holders(hosts)).toBe(12);
   });
@@ -77,7 +77,7 @@
   it('lets one host of all give a trial when the time of a request is over', async () => {
     const hosts = network(12, 3);
     await hosts.run(2000);
-    for (let index = 0; index < 3; index += 1) endUnder(hosts.hosts.get(9));
+    for (let index = 0; index < 3; index += 1) terminateServer(hosts.hosts.get(9));
     await hosts.run(19_000);
     let trials = 0;
     for (let passedMs = 0; passedMs < 15_000; passedMs += 50) {
@@ -92,13 +92,13 @@
   it('reaches a host that has just started, and holds on when those who told it first are gone', async () => {
     const hosts = network(6, 2);
     await hosts.run(2000);
-    for (let index = 0; index < 3; index += 1) endUnder(hosts.hosts.get(1));
+    for (let index = 0; index < 3; index += 1) terminateServer(hosts.hosts.get(1));
     await hosts.run(500);
     for (const port of [1, 2]) hosts.hosts.delete(port);
     await hosts.run(5000);
-    const fresh = hosts.start(1, ports(6));
+    const started = hosts.start(1, ports(6));
     await hosts.run(1000);
-    expect(fresh.quarantine.judge(CONTENT)).toBe('held');
+    expect(started.quarantine.judge(CONTENT)).toBe('held');
   });
 
   it('agrees again once a cut in two has healed', async () => {
@@ -116,8 +116,8 @@
       }
     };
     await runCut(4000);
-    for (let index = 0; index < 3; index += 1) endUnder(hosts.hosts.get(5));
-    endUnder(hosts.hosts.get(2));
+    for (let index = 0; index < 3; index += 1) terminateServer(hosts.hosts.get(5));
+    terminateServer(hosts.hosts.get(2));
     await runCut(2000);
     expect(holders(hosts)).toBe(3);
     await hosts.run(2500);
@@ -147,7 +147,7 @@
     };
     for (let second = 0; second < 5; second += 1) {
       for (let index = 0; index < 200; index += 1) {
-        endUnder(hosts.hosts.get(4), `content-${String(second)}-${String(index)}`);
+        terminateServer(hosts.hosts.get(4), `content-${String(second)}-${String(index)}`);
       }
       await hosts.run(1000);
     }
--- a/packages/relay/src/peers/quarantine-news.ts
+++ b/packages/relay/src/peers/quarantine-news.ts
@@ -1,72 +1,75 @@
 import type { QuarantineEntry } from '@poppypond/fleet';
 import type { SharedQuarantine } from '../quarantine/shared-quarantine.js';
-import { BatchedSpread } from './batched-spread.js';
+import { BatchedBroadcast } from './batched-spread.js';
 import type { ExchangeParts } from './exchange-parts.js';
 import type { Peer } from './peer-list.js';
-import type { Beat, ToldQuarantine, WireQuarantine } from './peer-messages.js';
+import type { Heartbeat, QuarantineMessage, WireQuarantineEntry } from './peer-messages.js';
 import { fromWireQuarantine, toWireQuarantine } from './quarantine-on-the-wire.js';
-import { ZoneSpread } from './zone-spread.js';
+import { ZoneBroadcast } from './zone-spread.js';
 
 /** What the exchange needs. */
-export interface QuarantineNewsParts extends ExchangeParts {
+export interface QuarantineExchangeParts extends ExchangeParts {
   readonly quarantine: SharedQuarantine;
 }
 
 /** Entries in a heartbeat, of 140 bytes each; none while no server ends under a request. */
-const MOST_IN_BEAT = 8;
+const MAX_PER_HEARTBEAT = 8;
 
 /**
  * Tells all hosts of requests under which servers ended. Heartbeats to and from the first hosts mend what is lost,
  * and tell hosts that have just started.
  */
-export class QuarantineNews {
-  readonly #spread: ZoneSpread<readonly QuarantineEntry[]>;
-  readonly #batch: BatchedSpread<QuarantineEntry>;
-  #turn = 0;
+export class QuarantineExchange {
+  readonly #broadcast: ZoneBroadcast<readonly QuarantineEntry[]>;
+  readonly #batch: BatchedBroadcast<QuarantineEntry>;
+  #rotation = 0;
 
-  constructor(readonly parts: QuarantineNewsParts) {
+  constructor(readonly parts: QuarantineExchangeParts) {
     const { clock, peers, quarantine } = parts;
-    this.#spread = new ZoneSpread(peers, (to, entries, passOn) => {
+    this.#broadcast = new ZoneBroadcast(peers, (to, entries, passOn) => {
       this.#send(to, entries, passOn);
     });
     const find = (content: string) => quarantine.find(content);
-    this.#batch = new BatchedSpread({ clock, spread: this.#spread, find });
+    this.#batch = new BatchedBroadcast({ clock, broadcast: this.#broadcast, find });
     quarantine.setRankSource(() => peers.place);
     quarantine.onChange((entry) => {
-      this.#tell([entry]);
+      this.#publish([entry]);
     });
   }
 
   /** Entries for one heartbeat. */
-  forBeat(): WireQuarantine[] {
-    this.#turn += 1;
+  forHeartbeat(): WireQuarantineEntry[] {
+    this.#rotation += 1;
     const nowMs = this.parts.clock.monotonicMs();
-    const entries = this.parts.quarantine.entriesFor(this.#turn, MOST_IN_BEAT);
+    const entries = this.parts.quarantine.entriesFor(this.#rotation, MAX_PER_HEARTBEAT);
     return entries.map((entry) => toWireQuarantine(entry, nowMs));
   }
 
   /** Takes in what a heartbeat tells; one of the first hosts tells all others what is news to it. */
-  onBeat({ quarantine, host }: Beat): void {
-    const news = this.#hear(quarantine, host);
-    if (this.parts.peers.isAmongFirst()) this.#tell(news);
+  onHeartbeat({ quarantine, host }: Heartbeat): void {
+    const news = this.#mergeFromPeer(quarantine, host);
+    if (this.parts.peers.isCoordinator()) this.#publish(news);
   }
 
   /** Takes in a message of a host. */
-  onTold({ entries, host, passOn }: ToldQuarantine): void {
-    const news = this.#hear(entries, host);
+  onMessage({ entries, host, passOn }: QuarantineMessage): void {
+    const news = this.#mergeFromPeer(entries, host);
     if (news.length === 0) return;
-    if (passOn) this.#spread.passOn(news);
-    else if (this.parts.peers.isAmongFirst()) this.#tell(news);
+    if (passOn) this.#broadcast.passOn(news);
+    else if (this.parts.peers.isCoordinator()) this.#publish(news);
   }
 
-  #hear(entries: readonly WireQuarantine[], host: string): readonly QuarantineEntry[] {
+  #mergeFromPeer(
+    entries: readonly WireQuarantineEntry[],
+    host: string,
+  ): readonly QuarantineEntry[] {
     const nowMs = this.parts.clock.monotonicMs();
     const told = entries.map((entry) => fromWireQuarantine(entry, nowMs));
     return this.parts.quarantine.mergeFromPeer(told, host);
   }
 
-  #tell(entries: readonly QuarantineEntry[]): void {
-    this.#batch.tell(entries.map(({ content }) => content));
+  #publish(entries: readonly QuarantineEntry[]): void {
+    this.#batch.publish(entries.map(({ content }) => content));
   }
 
   #send(peers: readonly Peer[], entries: readonly QuarantineEntry[], passOn: boolean): void {
@@ -75,7 +78,7 @@
     const wire = entries.map((entry) => toWireQuarantine(entry, nowMs));
     this.parts.send(peers, {
       kind: 'quarantine',
-      ...this.parts.selfFields(),
+      ...this.parts.senderFields(),
       entries: wire,
       passOn,
     });
--- a/packages/relay/src/peers/self-fields.ts
+++ b/packages/relay/src/peers/self-fields.ts
@@ -1,5 +1,5 @@
 /** Names the sender in each message. */
-export interface SelfFields {
+export interface SenderFields {
   readonly host: string;
   /** New with each start of its process. */
   readonly incarnation: string;
--- a/packages/relay/src/peers/store-sync-state.ts
+++ b/packages/relay/src/peers/store-sync-state.ts
@@ -19,7 +19,7 @@
 }
 
 /** After a failed call, others read the store for this long before this host is tried again. */
-const LOST_FOR_MS: Milliseconds = 3000;
+const STORE_LOST_FOR_MS: Milliseconds = 3000;
 
 /** What the comparison needs. */
 export interface StoreSyncStateParts {
@@ -35,14 +35,14 @@
  */
 export class StoreSyncState {
   /** The newest version that a peer has told of, and when it did, on this process's clock. */
-  #told = { version: 0, atMs: 0 };
+  #newestPeerConfiguration = { version: 0, atMs: 0 };
   /** The newest version of another list than this host's that a peer has told of. */
-  #otherListVersion = 0;
+  #newestOtherListVersion = 0;
   /** Since when a peer was known to know more, on this process's clock; undefined while none does. */
   #behindSinceMs: Milliseconds | undefined;
   #storeFailedAtMs: Milliseconds | undefined;
-  #onNews: () => void = () => undefined;
-  #onConfiguration: (bytes: Buffer) => void = () => undefined;
+  #onRefreshNeeded: () => void = () => undefined;
+  #onConfigurationReceived: (bytes: Buffer) => void = () => undefined;
   #configurationBytes: Buffer | undefined;
 
   constructor(readonly parts: StoreSyncStateParts) {}
@@ -50,7 +50,7 @@
   /** Whether this host's last call to the store, not long ago, had no result. */
   get isStoreLost(): boolean {
     if (this.#storeFailedAtMs === undefined) return false;
-    return this.parts.clock.monotonicMs() - this.#storeFailedAtMs < LOST_FOR_MS;
+    return this.parts.clock.monotonicMs() - this.#storeFailedAtMs < STORE_LOST_FOR_MS;
   }
 
   /** A call to the store had no result. */
@@ -64,7 +64,7 @@
   }
 
   /** What this host tells its peers. */
-  get own(): StoreVersions {
+  get ownVersions(): StoreVersions {
     const { inForce, list } = this.parts;
     return {
       configurationVersion: inForce.version,
@@ -85,22 +85,22 @@
 
   /** Whether a peer knows a newer configuration. */
   get isConfigurationBehind(): boolean {
-    return this.#told.version > this.parts.inForce.version;
+    return this.#newestPeerConfiguration.version > this.parts.inForce.version;
   }
 
   /** Whether a peer knows a newer list of servers. */
   get isListBehind(): boolean {
-    return this.#otherListVersion > this.parts.list.listed.version;
+    return this.#newestOtherListVersion > this.parts.list.listed.version;
   }
 
   /** `callback` is called when a peer is found to know more, or the store is back. */
   onRefreshNeeded(callback: () => void): void {
-    this.#onNews = callback;
+    this.#onRefreshNeeded = callback;
   }
 
   /** `callback` takes in a newer configuration that a peer has told. */
   onConfigurationReceived(callback: (bytes: Buffer) => void): void {
-    this.#onConfiguration = callback;
+    this.#onConfigurationReceived = callback;
   }
 
   /** The configuration in force, as the store keeps it; undefined before the first. */
@@ -121,75 +121,76 @@
   }
 
   /** The list of servers before its last change. */
-  get listedBefore(): DigestedList {
+  get previousList(): DigestedList {
     return this.parts.list.previousList;
   }
 
   /** Takes in a configuration that a peer has read; false where it is none or no newer. */
-  hearConfiguration(bytes: Buffer, configurationVersion: number): boolean {
+  applyConfiguration(bytes: Buffer, configurationVersion: number): boolean {
     const before = this.parts.inForce.version;
-    this.#onConfiguration(bytes);
-    this.#noteConfiguration(configurationVersion);
-    this.#tellBehind();
+    this.#onConfigurationReceived(bytes);
+    this.#recordConfigurationVersion(configurationVersion);
+    this.#notifyIfBehind();
     return this.parts.inForce.version > before;
   }
 
   /** Takes in a list of servers that a peer has read; false where it is no newer. */
-  hearList(list: ServerListSnapshot): boolean {
-    const before = this.own.listVersion;
+  applyList(list: ServerListSnapshot): boolean {
+    const before = this.ownVersions.listVersion;
     this.parts.list.adopt(list);
-    return this.own.listVersion > before;
+    return this.ownVersions.listVersion > before;
   }
 
   /** Takes in that a listed server is gone, by the word of `host`; false where that is nothing new. */
-  hearGone(server: BackendServer, host: string): boolean {
+  onServerGone(server: BackendServer, host: string): boolean {
     return this.parts.list.onGone(server, host);
   }
 
-  #noteConfiguration(version: number): void {
-    if (version <= this.#told.version) return;
-    this.#told = { version, atMs: this.parts.clock.monotonicMs() };
+  #recordConfigurationVersion(version: number): void {
+    if (version <= this.#newestPeerConfiguration.version) return;
+    this.#newestPeerConfiguration = { version, atMs: this.parts.clock.monotonicMs() };
   }
 
   /** An older list than this host's own says nothing. */
-  #noteList({ listDigest, listVersion }: StoreVersions): void {
+  #recordListVersion({ listDigest, listVersion }: StoreVersions): void {
     if (listDigest === this.parts.list.digest) return;
-    this.#otherListVersion = Math.max(this.#otherListVersion, listVersion);
+    this.#newestOtherListVersion = Math.max(this.#newestOtherListVersion, listVersion);
   }
 
-  #tellBehind(): void {
+  #notifyIfBehind(): void {
     if (!this.isConfigurationBehind && !this.isListBehind) return;
     this.#behindSinceMs ??= this.parts.clock.monotonicMs();
-    this.#onNews();
+    this.#onRefreshNeeded();
   }
 
   /** Takes in what a peer knows, without the instants at which it held. */
-  hear(word: StoreVersions): void {
-    this.#noteConfiguration(word.configurationVersion);
-    this.#noteList(word);
-    this.#tellBehind();
+  onPeerVersions(word: StoreVersions): void {
+    this.#recordConfigurationVersion(word.configurationVersion);
+    this.#recordListVersion(word);
+    this.#notifyIfBehind();
   }
 
   /** Takes in what a peer knew at instants of this process's clock. */
-  hearDated(word: DatedStoreVersions): void {
+  onDatedPeerVersions(word: DatedStoreVersions): void {
     const { inForce, freshness, list } = this.parts;
-    this.#noteConfiguration(word.configurationVersion);
+    this.#recordConfigurationVersion(word.configurationVersion);
     if (word.configurationVersion === inForce.version && word.configurationAtMs !== undefined) {
       freshness.confirm(word.configurationAtMs);
     }
     if (word.listAtMs !== undefined) {
       if (word.listDigest === list.digest) list.confirm(word.listAtMs);
-      else this.#noteList(word);
+      else this.#recordListVersion(word);
     }
-    this.#tellBehind();
+    this.#notifyIfBehind();
   }
 
   /** The store, asked at `askedAtMs`, has told the newest configuration of then. */
   onConfigurationRead(askedAtMs: Milliseconds): void {
     const wasLost = this.#storeFailedAtMs !== undefined;
     this.#storeFailedAtMs = undefined;
-    if (this.#told.atMs <= askedAtMs) this.#told = { version: 0, atMs: askedAtMs };
-    if (wasLost) this.#onNews();
+    if (this.#newestPeerConfiguration.atMs <= askedAtMs)
+      this.#newestPeerConfiguration = { version: 0, atMs: askedAtMs };
+    if (wasLost) this.#onRefreshNeeded();
   }
 
   /** The store has told its list. */
--- a/packages/relay/src/peers/work-on-the-wire.ts
+++ b/packages/relay/src/peers/work-on-the-wire.ts
@@ -1,11 +1,11 @@
 import type { Milliseconds } from '@poppypond/core';
 import type { AttemptUse } from '@poppypond/fleet';
 import type { PlanAnswer, PlanRequest } from '../planning/plan-request.js';
-import type { WireUse } from './peer-messages.js';
-import type { WireAnswer, WireAsk } from './plan-messages.js';
+import type { WireAttemptUse } from './peer-messages.js';
+import type { WirePlanAnswer, WirePlanRequest } from './plan-messages.js';
 
 /** An attempt for the wire, as of `nowMs`. */
-export function toWireUse(use: AttemptUse, nowMs: Milliseconds): WireUse {
+export function toWireAttemptUse(use: AttemptUse, nowMs: Milliseconds): WireAttemptUse {
   return [
     use.attemptId,
     use.writerId,
@@ -21,9 +21,13 @@
 }
 
 /** An attempt of `host` from the wire, on this process's clock. */
-export function fromWireUse(wire: WireUse, host: string, nowMs: Milliseconds): AttemptUse {
+export function fromWireAttemptUse(
+  wire: WireAttemptUse,
+  host: string,
+  nowMs: Milliseconds,
+): AttemptUse {
   const [attemptId, writerId, readerIds, partMs, contextTokens, gapAimMs] = wire;
-  const [, , , , , , isReading, placedAgoMs, dropInMs, held] = wire;
+  const [, , , , , , isPrefilling, placedAgoMs, expiresInMs, held] = wire;
   return {
     attemptId,
     host,
@@ -32,16 +36,19 @@
     partMs,
     contextTokens,
     gapAimMs,
-    isPrefilling: isReading,
+    isPrefilling,
     placedAtMs: nowMs - placedAgoMs,
-    expiresAtMs: nowMs + dropInMs,
+    expiresAtMs: nowMs + expiresInMs,
     held: held.map(([engineId, tokens]) => ({ engineId, tokens })),
   };
 }
 
 /** A question to a planner for the wire, as of `nowMs`. */
-export function toWireAsk(request: PlanRequest, nowMs: Milliseconds): Omit<WireAsk, 'limits'> {
-  const { content, permit, waitsForPermitUntilMs: waitsUntilMs } = request;
+export function toWirePlanRequest(
+  request: PlanRequest,
+  nowMs: Milliseconds,
+): Omit<WirePlanRequest, 'limits'> {
+  const { content, permit, waitsForPermitUntilMs } = request;
   const { attemptId, requestId, service, workspace, priority } = request;
   const { promptTokens, answerTokens, aimMs, gapAimMs, isRepeated } = request;
   return {
@@ -60,14 +67,20 @@
     isRepeated,
     avoidedIds: [...request.avoidedIds],
     excludedIds: [...request.excludedIds],
-    ...(waitsUntilMs === undefined ? {} : { waitsForLimitMs: Math.round(waitsUntilMs - nowMs) }),
+    ...(waitsForPermitUntilMs === undefined
+      ? {}
+      : { waitsForLimitMs: Math.round(waitsForPermitUntilMs - nowMs) }),
     ...(content === undefined ? {} : { content }),
     ...(permit && { permit: { ...permit, serverIds: [...permit.serverIds] } }),
   };
 }
 
 /** A question of `host` from the wire, on this process's clock. */
-export function fromWireAsk(wire: WireAsk, host: string, nowMs: Milliseconds): PlanRequest {
+export function fromWirePlanRequest(
+  wire: WirePlanRequest,
+  host: string,
+  nowMs: Milliseconds,
+): PlanRequest {
   const { attempt, request, waitedMs, silentMs, leftMs, waitsForLimitMs, ...same } = wire;
   return {
     ...same,
@@ -82,7 +95,7 @@
 }
 
 /** A planner's answer for the wire. */
-export function toWireAnswer(answer: PlanAnswer): WireAnswer {
+export function toWirePlanAnswer(answer: PlanAnswer): WirePlanAnswer {
   if (answer.kind !== 'place') return answer;
   const { stream } = answer;
   const shares = stream.shares.map((share) => ({ ...share }));
