--- a/packages/relay/src/peers/attempt-news.ts
+++ b/packages/relay/src/peers/attempt-exchange.ts
@@ -3,8 +3,8 @@
 import type { PlanRequest } from '../planning/plan-request.js';
 import type { Planner } from '../planning/planner.js';
 import type { ExchangeParts } from './exchange-parts.js';
-import type { LimitExchange } from './limit-news.js';
-import { toWireServer } from './list-on-the-wire.js';
+import type { LimitExchange } from './limit-exchange.js';
+import { toWireServer } from './server-wire-format.js';
 import type { PeerMessage } from './peer-messages.js';
 import type { WirePlanRequest } from './plan-messages.js';
 import type { StoreSyncState } from './store-sync-state.js';
@@ -13,7 +13,7 @@
   toWirePlanAnswer,
   toWirePlanRequest,
   toWireAttemptUse,
-} from './work-on-the-wire.js';
+} from './planning-wire-format.js';
 
 /** What the exchange needs. */
 export interface AttemptExchangeParts extends ExchangeParts {
--- a/packages/relay/src/peers/batched-spread.ts
+++ b/packages/relay/src/peers/batched-broadcast.ts
@@ -1,5 +1,5 @@
 import type { Clock, Milliseconds } from '@poppypond/core';
-import type { ZoneBroadcast } from './zone-spread.js';
+import type { ZoneBroadcast } from './zone-broadcast.js';
 
 /** What batched news needs. */
 export interface BatchedBroadcastParts<Entry> {
--- a/packages/relay/src/peers/packed-bytes.test.ts
+++ b/packages/relay/src/peers/byte-encoding.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest';
-import { encodeList, decodeList } from './list-on-the-wire.js';
-import { compressBytes, decompressBytes } from './packed-bytes.js';
+import { encodeList, decodeList } from './server-wire-format.js';
+import { compressBytes, decompressBytes } from './byte-encoding.js';
 
 describe('packed bytes', () => {
   it('come out as they went in, however long, unless they are none of ours', () => {
--- a/packages/relay/src/peers/exchange-parts.ts
+++ b/packages/relay/src/peers/exchange-parts.ts
@@ -1,7 +1,7 @@
 import type { Clock } from '@poppypond/core';
 import type { Peer, PeerList } from './peer-list.js';
 import type { PeerMessage } from './peer-messages.js';
-import type { SenderFields } from './self-fields.js';
+import type { SenderFields } from './sender-fields.js';
 
 /** What every exchange between hosts needs. */
 export interface ExchangeParts {
--- a/packages/relay/src/peers/pieces.test.ts
+++ b/packages/relay/src/peers/fragments.test.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
-import { FragmentAssembler, splitIntoFragments } from './pieces.js';
+import { FragmentAssembler, splitIntoFragments } from './fragments.js';
 
 describe('PieceCollector', () => {
   it('makes the whole from pieces in any order, repeated, and mixed with those of others', () => {
--- a/packages/relay/src/peers/beats.ts
+++ b/packages/relay/src/peers/heartbeat-exchange.ts
@@ -3,12 +3,12 @@
 import type { Planner } from '../planning/planner.js';
 import type { ExchangeParts } from './exchange-parts.js';
 import { datedVersionsOf, makeHeartbeat } from './heartbeat.js';
-import type { LimitExchange } from './limit-news.js';
+import type { LimitExchange } from './limit-exchange.js';
 import type { PeerAddress } from './peer-list.js';
 import type { Heartbeat } from './peer-messages.js';
-import type { QuarantineExchange } from './quarantine-news.js';
+import type { QuarantineExchange } from './quarantine-exchange.js';
 import type { StoreSyncState } from './store-sync-state.js';
-import { fromWireAttemptUse } from './work-on-the-wire.js';
+import { fromWireAttemptUse } from './planning-wire-format.js';
 
 /** Silent hosts that each of the first hosts greets in a period, each in its turn. */
 const SILENT_PEERS_PER_PERIOD = 4;
--- a/packages/relay/src/peers/heartbeat.ts
+++ b/packages/relay/src/peers/heartbeat.ts
@@ -4,7 +4,7 @@
 import type { Heartbeat, WireQuarantineEntry } from './peer-messages.js';
 import type { WireLimit } from './plan-messages.js';
 import type { DatedStoreVersions, StoreSyncState } from './store-sync-state.js';
-import { toWireAttemptUse } from './work-on-the-wire.js';
+import { toWireAttemptUse } from './planning-wire-format.js';
 
 /** What a heartbeat is made from. */
 export interface HeartbeatInputs {
--- a/packages/relay/src/peers/leaving-news.ts
+++ b/packages/relay/src/peers/leaving-exchange.ts
@@ -2,10 +2,10 @@
 import type { BackendServer } from '@poppypond/fleet';
 import type { ServerNotices } from '../notices/server-notices.js';
 import type { ExchangeParts } from './exchange-parts.js';
-import { fromWireServer, toWireServer } from './list-on-the-wire.js';
+import { fromWireServer, toWireServer } from './server-wire-format.js';
 import type { Peer } from './peer-list.js';
 import type { ServerLeavingMessage } from './peer-messages.js';
-import { ZoneBroadcast } from './zone-spread.js';
+import { ZoneBroadcast } from './zone-broadcast.js';
 
 /** What the exchange needs. */
 export interface LeavingExchangeParts extends ExchangeParts {
--- a/packages/relay/src/peers/limit-news.ts
+++ b/packages/relay/src/peers/limit-exchange.ts
@@ -1,13 +1,13 @@
 import type { Milliseconds } from '@poppypond/core';
 import type { ServerLimit, ServerLimits, PeerLimit } from '@poppypond/fleet';
 import type { ServerNotices } from '../notices/server-notices.js';
-import { BatchedBroadcast } from './batched-spread.js';
+import { BatchedBroadcast } from './batched-broadcast.js';
 import type { ExchangeParts } from './exchange-parts.js';
-import { fromWireLimit, toWireLimit } from './limit-on-the-wire.js';
+import { fromWireLimit, toWireLimit } from './limit-wire-format.js';
 import type { Peer } from './peer-list.js';
 import type { Heartbeat, LimitsMessage } from './peer-messages.js';
 import type { WireLimit } from './plan-messages.js';
-import { ZoneBroadcast } from './zone-spread.js';
+import { ZoneBroadcast } from './zone-broadcast.js';
 
 /** What the exchange needs. */
 export interface LimitExchangeParts extends ExchangeParts {
--- a/packages/relay/src/peers/limit-on-the-wire.ts
+++ b/packages/relay/src/peers/limit-wire-format.ts
@@ -1,6 +1,6 @@
 import type { Milliseconds } from '@poppypond/core';
 import type { ServerLimit, PeerLimit } from '@poppypond/fleet';
-import { fromWireServer, toWireServer } from './list-on-the-wire.js';
+import { fromWireServer, toWireServer } from './server-wire-format.js';
 import type { WireLimit } from './plan-messages.js';
 
 /** A limit as it is told to peers, as of `nowMs`. */
--- a/packages/relay/src/peers/message-intake.ts
+++ b/packages/relay/src/peers/message-dispatcher.ts
@@ -2,17 +2,17 @@
 import type { FleetView } from '@poppypond/fleet';
 import type { PlanAnswer } from '../planning/plan-request.js';
 import type { Planner } from '../planning/planner.js';
-import type { AttemptExchange } from './attempt-news.js';
-import type { HeartbeatExchange } from './beats.js';
+import type { AttemptExchange } from './attempt-exchange.js';
+import type { HeartbeatExchange } from './heartbeat-exchange.js';
 import type { ExchangeParts } from './exchange-parts.js';
-import type { LeavingExchange } from './leaving-news.js';
-import type { LimitExchange } from './limit-news.js';
-import { fromWireServer } from './list-on-the-wire.js';
-import type { StoreStateExchange } from './news.js';
+import type { LeavingExchange } from './leaving-exchange.js';
+import type { LimitExchange } from './limit-exchange.js';
+import { fromWireServer } from './server-wire-format.js';
+import type { StoreStateExchange } from './store-state-exchange.js';
 import type { Heartbeat, PeerMessage, WireMember } from './peer-messages.js';
-import type { QuarantineExchange } from './quarantine-news.js';
+import type { QuarantineExchange } from './quarantine-exchange.js';
 import type { StoreSyncState } from './store-sync-state.js';
-import { fromWireAttemptUse } from './work-on-the-wire.js';
+import { fromWireAttemptUse } from './planning-wire-format.js';
 
 /** Whoever takes in messages of other hosts. */
 export interface MessageDispatcherParts extends Omit<ExchangeParts, 'senderFields' | 'send'> {
--- a/packages/relay/src/peers/peer-mesh.test.ts
+++ b/packages/relay/src/peers/peer-mesh.test.ts
@@ -3,10 +3,10 @@
 import fc from 'fast-check';
 import { pack } from 'msgpackr';
 import { describe, expect, it } from 'vitest';
-import { decodeList } from './list-on-the-wire.js';
+import { decodeList } from './server-wire-format.js';
 import { CONFIGURATION, ENGINE, MeshNetwork } from './mocks/mesh-network.js';
 import type { SentMessage } from './mocks/mesh-network.js';
-import { compressBytes } from './packed-bytes.js';
+import { compressBytes } from './byte-encoding.js';
 import { decodeMessage } from './peer-messages.js';
 
 const PORTS = [1, 2, 3, 4, 5];
--- a/packages/relay/src/peers/peer-mesh.ts
+++ b/packages/relay/src/peers/peer-mesh.ts
@@ -12,18 +12,18 @@
 import type { Planner } from '../planning/planner.js';
 import type { SharedQuarantine } from '../quarantine/shared-quarantine.js';
 import type { ServerNotices } from '../notices/server-notices.js';
-import { AttemptExchange } from './attempt-news.js';
-import { HeartbeatExchange } from './beats.js';
+import { AttemptExchange } from './attempt-exchange.js';
+import { HeartbeatExchange } from './heartbeat-exchange.js';
 import { DepartedHosts } from './departed-hosts.js';
-import { LeavingExchange } from './leaving-news.js';
-import { LimitExchange } from './limit-news.js';
-import { MessageDispatcher } from './message-intake.js';
-import { StoreStateExchange } from './news.js';
+import { LeavingExchange } from './leaving-exchange.js';
+import { LimitExchange } from './limit-exchange.js';
+import { MessageDispatcher } from './message-dispatcher.js';
+import { StoreStateExchange } from './store-state-exchange.js';
 import { PeerList } from './peer-list.js';
 import type { Peer, PeerAddress } from './peer-list.js';
 import type { PeerMessage, WireMember } from './peer-messages.js';
-import { QuarantineExchange } from './quarantine-news.js';
-import type { SenderFields } from './self-fields.js';
+import { QuarantineExchange } from './quarantine-exchange.js';
+import type { SenderFields } from './sender-fields.js';
 import type { StoreSyncState } from './store-sync-state.js';
 
 /** Sends one message to a peer; may lose it. */
--- a/packages/relay/src/peers/peer-messages.ts
+++ b/packages/relay/src/peers/peer-messages.ts
@@ -1,6 +1,6 @@
 import { pack } from 'msgpackr';
 import { z } from 'zod';
-import { decodeAs } from './packed-bytes.js';
+import { decodeAs } from './byte-encoding.js';
 import { planAnswerSchema, planRequestSchema, limitSchema, serverSchema } from './plan-messages.js';
 
 /** An attempt as it is told to peers: durations in place of instants of the sender's clock. */
--- a/packages/relay/src/peers/quarantine-news.ts
+++ b/packages/relay/src/peers/quarantine-exchange.ts
@@ -1,11 +1,11 @@
 import type { QuarantineEntry } from '@poppypond/fleet';
 import type { SharedQuarantine } from '../quarantine/shared-quarantine.js';
-import { BatchedBroadcast } from './batched-spread.js';
+import { BatchedBroadcast } from './batched-broadcast.js';
 import type { ExchangeParts } from './exchange-parts.js';
 import type { Peer } from './peer-list.js';
 import type { Heartbeat, QuarantineMessage, WireQuarantineEntry } from './peer-messages.js';
-import { fromWireQuarantine, toWireQuarantine } from './quarantine-on-the-wire.js';
-import { ZoneBroadcast } from './zone-spread.js';
+import { fromWireQuarantine, toWireQuarantine } from './quarantine-wire-format.js';
+import { ZoneBroadcast } from './zone-broadcast.js';
 
 /** What the exchange needs. */
 export interface QuarantineExchangeParts extends ExchangeParts {
--- a/packages/relay/src/peers/list-on-the-wire.ts
+++ b/packages/relay/src/peers/server-wire-format.ts
@@ -2,7 +2,7 @@
 import { pack } from 'msgpackr';
 import { z } from 'zod';
 import type { ServerListSnapshot } from '../store/server-list.js';
-import { decodeAs, compressBytes, decompressBytes } from './packed-bytes.js';
+import { decodeAs, compressBytes, decompressBytes } from './byte-encoding.js';
 import { serversSchema } from './peer-messages.js';
 import type { WireServer } from './plan-messages.js';
 
--- a/packages/relay/src/peers/news.ts
+++ b/packages/relay/src/peers/store-state-exchange.ts
@@ -3,8 +3,8 @@
 import { diffLists, applyListDelta } from '../store/list-delta.js';
 import type { ListDelta } from '../store/list-delta.js';
 import type { ExchangeParts } from './exchange-parts.js';
-import { fromWireServer, encodeList, toWireServer, decodeList } from './list-on-the-wire.js';
-import { compressBytes, decompressBytes } from './packed-bytes.js';
+import { fromWireServer, encodeList, toWireServer, decodeList } from './server-wire-format.js';
+import { compressBytes, decompressBytes } from './byte-encoding.js';
 import type { Peer } from './peer-list.js';
 import type {
   PeerMessage,
@@ -12,7 +12,7 @@
   StateRequestMessage,
   ListDeltaMessage,
 } from './peer-messages.js';
-import { FragmentAssembler, splitIntoFragments } from './pieces.js';
+import { FragmentAssembler, splitIntoFragments } from './fragments.js';
 import type { StoreVersions, StoreSyncState } from './store-sync-state.js';
 
 /** What the exchange of news needs. */
