--- a/packages/relay/src/peers/member-directory.ts
+++ b/packages/relay/src/peers/member-directory.ts
@@ -8,7 +8,7 @@
 
 const MAX_PORT = 65_535;
 
-/** All that a host writes of itself; a row that is not of that form was written by another program. */
+/** The row that a host writes for itself. A row of any other form was written by another program. */
 const memberSchema = z.object({
   address: z.ipv4(),
   port: z.int().min(1).max(MAX_PORT),
@@ -25,7 +25,7 @@
   );
 }
 
-/** The list of relays in the store, through which hosts that just started find each other. */
+/** The list of relays in the store, through which hosts that have just started find each other. */
 export class MemberDirectory {
   constructor(
     readonly store: CountedStore,
@@ -33,10 +33,10 @@
   ) {}
 
   /**
-   * Reads who is there, and enters this host where it is not listed as it is: a host that starts
-   * again makes one call. Of two hosts that enter at once, the later reader sees both, so at least
-   * one of them tells the other. `isFirstStart`: no host can be listed yet. Undefined where the
-   * store failed.
+   * Reads the listed hosts, and writes the entry of this one if it is missing or outdated: a host
+   * that restarts makes one call. If two hosts write their entries at once, the one that reads later
+   * sees both, so at least one of them contacts the other. `isFirstStart`: no host can be listed yet.
+   * Returns undefined if the store failed.
    */
   async join(
     self: PeerAddress,
@@ -55,7 +55,7 @@
     return written.isErr ? this.#logFailure('join', written.error.detail) : this.#readMembers();
   }
 
-  /** Takes a host off the list that is gone for good. */
+  /** Removes the entry of a host that is permanently gone. */
   async remove(host: string): Promise<void> {
     const removed = await this.store.remove(MEMBERS_TABLE, host, 'removal');
     if (removed.isErr) this.#logFailure('remove', removed.error.detail);
--- a/packages/relay/src/peers/peer-list.ts
+++ b/packages/relay/src/peers/peer-list.ts
@@ -2,55 +2,66 @@
 import type { Heartbeat, PeerMessage } from './peer-messages.js';
 import { rankPeers } from './peer-rank.js';
 
-/** Another host that runs a relay. */
+/** Address, availability zone and capacity of a host that runs a relay. */
 export interface PeerAddress {
   readonly host: string;
   readonly address: string;
   readonly port: number;
   readonly availabilityZone: string;
-  /** Processor that it has, in cores of the usual speed. */
+  /** CPU capacity, in cores of the reference speed. */
   readonly capacity: number;
 }
 
-/** Another host, and what its messages said of itself. */
+/** Another host, and the state that it reported in its messages. */
 export interface Peer extends PeerAddress {
-  /** The life of its process that was heard last; undefined while never heard. */
+  /** Incarnation of its process that was heard from last; undefined if it was never heard from. */
   readonly incarnation: string | undefined;
-  /** When this life of it was first heard, on this process's clock. */
+  /** When this incarnation was first heard from, on this process's clock. */
   readonly heardSinceMs: Milliseconds | undefined;
-  /** When it was last heard, on this process's clock. */
+  /** When it was last heard from, on this process's clock. */
   readonly heardAtMs: Milliseconds | undefined;
-  /** The `sentAtMs` of its last beat, on its own clock. */
+  /** The `sentAtMs` of its last heartbeat, on its own clock. */
   readonly lastSentAtMs: Milliseconds | undefined;
-  /** Since when it was asked for a heartbeat without an answer, on this process's clock. */
+  /** Since when requests for a heartbeat are unanswered, on this process's clock; undefined if none are. */
   readonly unansweredSinceMs: Milliseconds | undefined;
-  /** Whether it said that it knows what planning takes. */
+  /** Whether it reported that it has the configuration and the servers, which planning needs. */
   readonly canPlan: boolean;
-  /** Whether it said that its way to the store is broken; true until it has said otherwise. */
+  /** Whether it reported that it can't reach the store; true until it has reported otherwise. */
   readonly isStoreLost: boolean;
 }
 
-/** Without a word for this long, what a peer runs no longer counts. */
+/** A peer that sends nothing for this long is not alive, and its attempts no longer count. */
 const SILENT_AFTER_MS: Milliseconds = 2500;
-/** Hosts that read the store for all; a second one stands in at once when the first is gone. */
+/**
+ * Number of coordinators, and of hosts that read the store on behalf of all. With two of them, one
+ * takes over at once when the other fails.
+ */
 const COORDINATORS = 2;
 /**
- * Hosts that are there but have lost the store are asked too, as one may be the first to have it
- * back; no more than these, so that an outage of the whole store does not make all ask all.
+ * Maximum number of live hosts that are queried while they can't reach the store. They are queried
+ * because one of them may be the first to reach it again; the bound keeps an outage of the whole
+ * store from making every host query every other.
  */
 const MAX_QUERIED_IN_OUTAGE = 4;
 /**
- * Silent hosts that are asked at first, and as many more after each period in which too few
- * answered: a host that has started after the loss of all would else ask all others.
+ * Maximum number of silent hosts that are queried in the first period, and by which the maximum
+ * grows with each period without a live peer. Without it, a host that starts while all others are
+ * down would query all of them.
  */
 const INITIAL_SILENT_QUERIES = 8;
-/** Hosts that know the attempts of a service: one plans, the other stands in. */
+/** Hosts that track the attempts of a service: one plans, the other is its standby. */
 const PLANNERS_PER_SERVICE = 2;
-/** A host that has just started learns within a heartbeat or two what others run; until then it plans last. */
+/**
+ * A host that has just started learns the attempts of others within one or two heartbeats; until
+ * then it ranks last among the planners.
+ */
 const PLANNER_WARM_UP_MS: Milliseconds = 1200;
-/** A host that stood still and hears nobody for this long is taken to be alone; answers come within 50 ms. */
+/**
+ * A host that hears from nobody for this long after it was suspended counts as isolated; answers
+ * arrive within 50 ms.
+ */
 const ISOLATED_AFTER_MS: Milliseconds = 500;
-/** A peer that is asked and stays silent still counts for shared budgets for this long. */
+/** A peer that does not answer requests for a heartbeat still counts in shared budgets for this long. */
 const FORGET_AFTER_MS: Milliseconds = 60_000;
 
 const NEVER_HEARD = {
@@ -63,66 +74,69 @@
   isStoreLost: true,
 } as const;
 
-/** What a heartbeat says of its sender. */
+/** The peer state that a heartbeat reports. */
 function reportedBy({ sentAtMs, isStoreLost, capacity, availabilityZone, canPlan }: Heartbeat) {
   return { lastSentAtMs: sentAtMs, isStoreLost, capacity, availabilityZone, canPlan };
 }
 
-/** The other hosts that were listed or heard, and which of them are there. */
+/** The other hosts that are listed in the store or were heard from, with their liveness and rank. */
 export class PeerList {
   readonly #peers = new Map<string, Peer>();
-  /** When this process started, or went on after it had stood still. */
+  /** When this process started, or resumed after it was suspended. */
   #startedAtMs: Milliseconds;
-  /** When it last went on after it had stood still. */
+  /** When it last resumed after it was suspended. */
   #pausedUntilMs: Milliseconds = Number.NEGATIVE_INFINITY;
-  /** Silent hosts that are asked in this period. */
+  /** Maximum number of silent hosts that are queried in this period. */
   #maxSilentQueries = 0;
-  /** How many hosts each peer has told that it knows. */
+  /** Number of hosts that each peer reported to know, by host. */
   readonly #reportedMemberCounts = new Map<string, number>();
-  /** All hosts in their order; undefined after each change of who is known, how large and where. */
+  /** All hosts in rank order; undefined after a change of the known hosts, their capacity or their zone. */
   #ranked: readonly PeerAddress[] | undefined;
 
   constructor(
     readonly clock: Clock,
     readonly self: PeerAddress,
-    /** Whether this host knows what planning takes. */
+    /** Whether this host has the configuration and the servers, which planning needs. */
     readonly canPlan: () => boolean,
   ) {
     this.#startedAtMs = clock.monotonicMs();
   }
 
-  /** This process stood still: others may have taken over from it, and what they run now it does not know. */
+  /**
+   * Called after this process was suspended: others may have taken over its roles, and it does not
+   * know the attempts that they run now.
+   */
   onPause(): void {
     this.#startedAtMs = this.clock.monotonicMs();
     this.#pausedUntilMs = this.#startedAtMs;
   }
 
-  /** Peers that count for shared budgets, alive or not. */
+  /** Number of peers that count in shared budgets, alive or not. */
   get size(): number {
     return this.#peers.size;
   }
 
-  /** Peers heard from lately. */
+  /** Peers heard from recently. */
   alive(): readonly Peer[] {
     return [...this.#peers.values()].filter((peer) => this.isAlive(peer));
   }
 
-  /** How many were heard from lately. */
+  /** Number of peers heard from recently. */
   get aliveCount(): number {
     return this.alive().length;
   }
 
-  /** In the order in which they became known; peers may be added and removed meanwhile. */
+  /** All peers, in the order in which they became known. Peers may be added and removed during iteration. */
   all(): Iterable<Peer> {
     return this.#peers.values();
   }
 
-  /** What is known of `host`; undefined where it was neither listed nor heard, or is removed. */
+  /** Returns undefined if `host` was neither listed nor heard from, or was removed. */
   find(host: string): Peer | undefined {
     return this.#peers.get(host);
   }
 
-  /** Adds a host that is listed; false where it was known. */
+  /** Adds a listed host. Returns false if it was known already. */
   add(address: PeerAddress): boolean {
     if (this.#peers.has(address.host)) return false;
     this.#peers.set(address.host, { ...NEVER_HEARD, ...address });
@@ -130,7 +144,7 @@
     return true;
   }
 
-  /** Notes a message that came from `address`; true where it is the first of its process. */
+  /** Records a message received from `address`. Returns true if it is the first of its incarnation. */
   recordMessage(message: PeerMessage, address: string): boolean {
     const { host, incarnation, port } = message;
     const nowMs = this.clock.monotonicMs();
@@ -156,7 +170,7 @@
     return isNew;
   }
 
-  /** Notes which peers are asked for heartbeats now; the others owe none. */
+  /** Records which peers are asked for a heartbeat now; none is expected from the others. */
   recordQueried(hosts: ReadonlySet<string>): void {
     const nowMs = this.clock.monotonicMs();
     for (const peer of this.#peers.values()) {
@@ -168,38 +182,39 @@
     }
   }
 
-  /** Forgets `host`; nothing where it is not known. */
+  /** Removes `host`; does nothing if it is not known. */
   remove(host: string): void {
     this.#peers.delete(host);
     this.#reportedMemberCounts.delete(host);
     this.#ranked = undefined;
   }
 
-  /** Whether it was heard lately, so that what it runs counts. */
+  /** Whether the peer was heard from recently, so that its attempts count. */
   isAlive({ heardAtMs }: Peer): boolean {
     if (heardAtMs === undefined) return false;
     return this.clock.monotonicMs() - heardAtMs < SILENT_AFTER_MS;
   }
 
-  /** Whether it was asked and silent for so long that it counts for nothing. */
+  /** Whether the peer has left requests unanswered for so long that it no longer counts at all. */
   isForgotten({ unansweredSinceMs }: Peer): boolean {
     if (unansweredSinceMs === undefined) return false;
     return this.clock.monotonicMs() - unansweredSinceMs > FORGET_AFTER_MS;
   }
 
-  /** How many hosts a peer has told of lately, or are known here if that is more. */
+  /** The largest number of hosts that this host or any of its peers knows, each itself included. */
   get memberCount(): number {
     return Math.max(this.size + 1, ...this.#reportedMemberCounts.values());
   }
 
-  /** Notes how many hosts `host` knows. */
+  /** Records how many hosts `host` reports to know. */
   recordMemberCount(host: string, count: number): void {
     this.#reportedMemberCounts.set(host, count);
   }
 
   /**
-   * Whether `host`, which has a sound way to the store, is one of the few that read it for all. Where
-   * many that come before it have lost the store, the store itself is away, and those try again for all.
+   * Whether `host`, which must be able to reach the store, is one of the few that read it on behalf
+   * of all. If many live hosts ranked before it can't reach the store, the store itself is down, and
+   * those hosts retry it for all.
    */
   isStoreReader(host: string): boolean {
     const before = this.#aliveRankedBefore(host);
@@ -207,12 +222,12 @@
     return before.filter(({ isStoreLost }) => !isStoreLost).length < COORDINATORS;
   }
 
-  /** Whether this host is one of the first of all that are known, there or not. */
+  /** Whether this host ranks among the first of all known hosts, alive or not. */
   isTopRanked(): boolean {
     return this.#byRank().slice(0, COORDINATORS).includes(this.self);
   }
 
-  /** The first hosts that are there, this one left out. */
+  /** The highest-ranked live hosts except this one. */
   highestRankedPeers(): readonly Peer[] {
     const highest: Peer[] = [];
     for (const { host } of this.#byRank()) {
@@ -223,19 +238,19 @@
     return highest;
   }
 
-  /** How many hosts that are there come before this one. */
+  /** Rank of this host: the number of live hosts ranked before it. */
   get place(): number {
     return this.#aliveRankedBefore(this.self.host).length;
   }
 
-  /** Whether this host is one of the first that are there, whatever they know of the store. */
+  /** Whether this host is a coordinator: one of the highest-ranked live hosts, whether or not it can reach the store. */
   isCoordinator(): boolean {
     return this.place < COORDINATORS;
   }
 
   /**
-   * How many hosts that are there come before this one, of the few that are asked in an outage;
-   * beyond those its place among all that are known.
+   * Number of hosts that retry an unavailable store before this one: 0 for the few live hosts that
+   * are queried in an outage; for others derived from the rank among all known hosts.
    */
   get turn(): number {
     const before = this.#aliveRankedBefore(this.self.host).length;
@@ -244,7 +259,10 @@
     return Math.max(0, place - MAX_QUERIED_IN_OUTAGE + 1);
   }
 
-  /** The first host of each availability zone that is there, this host's own zone left out. */
+  /**
+   * For each availability zone except this host's own, the host that forwards messages within it: the
+   * highest-ranked live one, or the highest-ranked one if none is alive.
+   */
   otherZoneForwarders(): readonly Peer[] {
     const forwarders = new Map<string, Peer>();
     for (const { host } of this.#byRank()) {
@@ -257,20 +275,20 @@
     return [...forwarders.values()];
   }
 
-  /** Whether this host is the first of its availability zone, of all that are known, there or not. */
+  /** Whether this host is the highest-ranked known host of its availability zone, counting those not alive. */
   isOwnZoneForwarder(): boolean {
     const { availabilityZone, host } = this.self;
     const forwarder = this.#byRank().find((peer) => peer.availabilityZone === availabilityZone);
     return forwarder?.host === host;
   }
 
-  /** Known hosts of this host's availability zone, itself left out. */
+  /** Known peers in this host's availability zone. */
   ownZonePeers(): readonly Peer[] {
     const { availabilityZone } = this.self;
     return [...this.#peers.values()].filter((peer) => peer.availabilityZone === availabilityZone);
   }
 
-  /** Peers that are there and come before `host`. */
+  /** Live peers ranked before `host`. */
   #aliveRankedBefore(host: string): readonly Peer[] {
     const before: Peer[] = [];
     for (const ranked of this.#byRank()) {
@@ -281,14 +299,14 @@
     return before;
   }
 
-  /** Known hosts that are silent; one that has started anew may know nobody. */
+  /** Known peers that are not alive. One that has just restarted may know no other host. */
   silent(): readonly Peer[] {
     return [...this.#peers.values()].filter((peer) => !this.isAlive(peer));
   }
 
   /**
-   * Hosts that know what runs on a service's engines, the one that plans first; maybe this one.
-   * `place`: of the service among all that are planned for, so that each has planners of its own.
+   * Hosts that track the attempts on a service's engines, the one that plans first; may include this
+   * host. `place`: index of the service among all planned services, so that each has its own planners.
    */
   plannersOf(place: number): readonly string[] {
     const ready: string[] = [];
@@ -303,8 +321,8 @@
   }
 
   /**
-   * Peers that this host has to hear of: the first readers and planners of all services that are
-   * there, and all those before them, as they may come back.
+   * Peers from which this host needs heartbeats: the live store readers, the live planners of all
+   * services, and all hosts ranked before those, as they may come back.
    */
   peersToQuery(services: number): ReadonlySet<string> {
     const queried = new Set<string>();
@@ -348,14 +366,17 @@
     return peer !== undefined && this.isAlive(peer);
   }
 
-  /** Whether this process stood still, and has heard nobody since though others are known. */
+  /**
+   * Whether this process knows peers, but has heard from none since it was suspended. False once it
+   * counts as isolated.
+   */
   #isStaleAfterPause(): boolean {
     const sinceMs = this.#pausedUntilMs;
     if (this.size === 0 || this.clock.monotonicMs() - sinceMs > ISOLATED_AFTER_MS) return false;
     return ![...this.#peers.values()].some(({ heardAtMs }) => (heardAtMs ?? -Infinity) > sinceMs);
   }
 
-  /** Whether a host knows what planning takes, and what others run. */
+  /** Whether a host has what planning needs, and has had the time to learn the attempts of others. */
   #isReadyToPlan({ host }: PeerAddress): boolean {
     const peer = this.#peers.get(host);
     const isSelf = host === this.self.host;
@@ -373,7 +394,7 @@
     return this.#ranked;
   }
 
-  /** All hosts, from those on that plan for the service at `place`; the first ones come last. */
+  /** All hosts in rank order, rotated so that the planners of the service at index `place` come first. */
   #rotatedTo(place: number): readonly PeerAddress[] {
     const ranked = this.#byRank();
     const from = (place * PLANNERS_PER_SERVICE) % ranked.length;
--- a/packages/relay/src/peers/peer-mesh.ts
+++ b/packages/relay/src/peers/peer-mesh.ts
@@ -26,12 +26,12 @@
 import type { SenderFields } from './sender-fields.js';
 import type { StoreSyncState } from './store-sync-state.js';
 
-/** Sends one message to a peer; may lose it. */
+/** Sends one message to a peer. Delivery is not guaranteed. */
 export interface PeerSender {
   send(address: string, port: number, message: PeerMessage): void;
 }
 
-/** What the mesh needs. */
+/** Dependencies of `PeerMesh`. */
 export interface PeerMeshParts {
   readonly clock: Clock;
   readonly log: Log;
@@ -39,31 +39,32 @@
   readonly self: PeerAddress & { readonly incarnation: string };
   readonly fleet: FleetView;
   readonly planner: Planner;
-  /** Services of engines that this host may have to plan for or ask for plans. */
+  /** Names of the engine services, for which this host may be a planner or request plans. */
   readonly engineServices: () => readonly string[];
-  /** Takes in a planner's answer. */
+  /** Called with each answer of a planner. */
   readonly onPlan: (attemptId: string, answer: PlanAnswer) => void;
   readonly syncState: StoreSyncState;
   readonly quarantine: SharedQuarantine;
   readonly notices: ServerNotices;
   readonly limits: ServerLimits;
-  /** Pause between heartbeats. */
+  /** Interval between heartbeats. */
   readonly heartbeatPeriodMs: Milliseconds;
-  /** Called by one of the first hosts when another is gone for good. */
+  /** Called on a coordinator when another host is considered permanently gone. */
   readonly onGone: (host: string) => void;
 }
 
 /**
- * Of a limit, given out in place of a first host that is silent, and by all that hear nobody together: whether it is
- * gone, or gives still, is not known. With the whole that it may give that is one and a half times the limit.
+ * Shares of a server's rate limit that are granted besides the share of the first planner: by a standby planner if the
+ * first planner is silent, and by all hosts together that reach no planner. The first planner may still be granting its
+ * whole share, so the total can reach 1.5 times the limit.
  */
 const STANDBY_SHARE = 0.3;
 const FALLBACK_SHARE = 0.2;
 
 /**
- * Speaks with the few hosts that read the store and plan for all, and is one of them where its
- * rank says so. Messages may be lost: each heartbeat holds the sender's whole state, so that a
- * loss is mended within a period.
+ * Exchanges messages with the few hosts that read the store and plan for all, and acts as one of
+ * them if its rank is high enough. Messages may be lost: each heartbeat carries the sender's whole
+ * state, so that a loss is repaired within one heartbeat period.
  */
 export class PeerMesh implements PlannerPeers {
   readonly #peers: PeerList;
@@ -74,7 +75,7 @@
   readonly #attempts: AttemptExchange;
   readonly #heartbeats: HeartbeatExchange;
   readonly #dispatcher: MessageDispatcher;
-  /** Hosts that were heard and not known before; others are told of them with the next heartbeat. */
+  /** Hosts heard from for the first time or at a new address; announced to others with the next heartbeats. */
   readonly #newcomers = new Set<string>();
   readonly #departed: DepartedHosts;
   #cancel: CancelTimer = () => undefined;
@@ -135,24 +136,24 @@
     });
   }
 
-  /** Whether this host is one of the few that read the store for all. */
+  /** Whether this host is one of the few that read the store on behalf of all. */
   isReader(): boolean {
     const { host } = this.parts.self;
     if (this.parts.syncState.isStoreLost) return false;
     return this.#peers.isStoreReader(host);
   }
 
-  /** How many hosts come before this one where the store is to be tried again; 0 for the first few. */
+  /** Number of hosts that retry an unavailable store before this one; 0 for the first few. */
   get turn(): number {
     return this.#peers.turn;
   }
 
-  /** Tells all known hosts what the store has told. */
+  /** Sends the configuration and the server list, as far as they are new, to all known hosts. */
   publishStoreState(): void {
     this.#storeState.publish();
   }
 
-  /** Begins to send heartbeats. */
+  /** Starts sending heartbeats. */
   start(): void {
     this.#heartbeats.requestFromPeers();
     this.#cancel = this.parts.clock.every(this.parts.heartbeatPeriodMs, () => {
@@ -161,8 +162,9 @@
   }
 
   /**
-   * Adds all hosts that are listed as members, and asks those that this one has to hear of. One of
-   * the first hosts greets all, as those that came before it may take others for the first.
+   * Adds the hosts that the store lists as members, and requests heartbeats from those that this
+   * host depends on. A top-ranked host sends one to every added host, as hosts that started before
+   * it may take others for the coordinators.
    */
   addMembers(known: readonly PeerAddress[]): void {
     this.#areMembersKnown = true;
@@ -172,13 +174,16 @@
     for (const { host } of added) this.#heartbeats.send(host, true);
   }
 
-  /** This process stood still: it asks at once what holds, and plans for nobody until it has heard others. */
+  /**
+   * Called after this process was suspended. Requests the current state from peers at once; this
+   * host plans for nobody until it has heard from one of them.
+   */
   onPause(): void {
     this.#peers.onPause();
     this.#heartbeats.requestFromPeers();
   }
 
-  /** Tells all hosts heard lately that this one leaves; sends and takes in nothing afterwards. */
+  /** Notifies all live peers that this host leaves. Sends no heartbeats and handles no messages afterwards. */
   stop(): void {
     if (this.#isStopped) return;
     this.#cancel();
@@ -186,14 +191,15 @@
     this.#sendAll(this.#peers.alive(), { kind: 'leave', ...this.#senderFields() });
   }
 
-  /** Hosts that share budgets with this one, itself included; infinite while that is not known. */
+  /** Number of hosts that share budgets, this one included; infinite until the member list is known. */
   get hostCount(): number {
     return this.#areMembersKnown ? this.#peers.memberCount : Number.POSITIVE_INFINITY;
   }
 
   /**
-   * What this host may give out of the limits of servers of a service. The first in rank gives for the part of the listed
-   * hosts that it hears, so that halves that are cut apart, which each have a first, keep the sum.
+   * The share of the rate limits of a service's servers that this host may grant. The first planner in rank grants
+   * the fraction of the listed hosts that it hears from, so that the sides of a network partition, which each have a
+   * first planner, keep to the limit together. `isFallback`: this host reaches no planner and plans by itself.
    */
   limitPart(service: string, isFallback: boolean): LimitPart {
     const hosts = this.hostCount;
@@ -204,52 +210,55 @@
     return { role: 'stand_in', share: STANDBY_SHARE * heardShare };
   }
 
-  /** Peers heard from lately. */
+  /** Number of peers heard from recently. */
   get aliveCount(): number {
     return this.#peers.aliveCount;
   }
 
-  /** Hosts that plan for a service, the first in rank before others; this host may be among them. */
+  /** Hosts that plan for a service, in rank order; may include this host. */
   plannersOf(service: string): readonly string[] {
     return this.#attempts.plannersOf(service);
   }
 
-  /** Asks `planner`; the answers go to `onPlan`, or are lost. */
+  /** Sends a plan request to `planner`. Its answers are passed to `onPlan`, unless they are lost. */
   askPlan(planner: string, request: PlanRequest): void {
     this.#attempts.askPlan(planner, request);
   }
 
-  /** Tells `planner` that an attempt won't run by its plan. */
+  /** Notifies `planner` that an attempt will not run according to its plan. */
   withdrawPlan(planner: string, attemptId: string): void {
     this.#attempts.withdrawPlan(planner, attemptId);
   }
 
-  /** An attempt begins; planners of `service` are told, where there are any. */
+  /** Records that an attempt starts, and notifies the planners of `service`; none if it is undefined. */
   begin(use: AttemptUse, service: string | undefined): void {
     this.#attempts.begin(use, service);
   }
 
-  /** The first event of an attempt has come. `service`: undefined where planners need not know. */
+  /** Records the first event of an attempt. `service` is undefined if planners need not be notified. */
   onPrefillDone(attemptId: string, service: string | undefined): void {
     this.#attempts.onPrefillDone(attemptId, service);
   }
 
-  /** An attempt is over, or won't begin. */
+  /** Records that an attempt has ended or will not start. */
   end(attemptId: string, service: string | undefined): void {
     this.#attempts.end(attemptId, service);
   }
 
-  /** Has all hosts that choose among servers of `service` avoid one that failed; for how long from now. */
+  /**
+   * Makes all hosts that select among the servers of `service` avoid a failed one. Returns for how
+   * long from now.
+   */
   suspect(server: string, service: string): Milliseconds {
     return this.#attempts.suspect(server, service);
   }
 
-  /** Has all hosts that choose among servers of its service leave out one that is gone. */
+  /** Makes all hosts that select among the servers of its service exclude a server that is gone. */
   broadcastServerGone(server: BackendServer): void {
     this.#attempts.broadcastServerGone(server);
   }
 
-  /** Takes in one message; `address` is where it came from. */
+  /** Handles one message; `address` is the network address of its sender. */
   receive(message: PeerMessage, address: string): void {
     if (this.#isStopped || message.host === this.parts.self.host) return;
     this.#recordMessage(message, address);
@@ -263,18 +272,18 @@
     if (!this.#peers.recordMessage(message, address)) return;
     this.parts.fleet.dropHost(host);
     this.parts.log.info('peer_heard', { peer: host, address, incarnation });
-    // A heartbeat says all, and is answered where it asks.
+    // A heartbeat carries the sender's whole state, and is answered if it requests an answer.
     if (message.kind !== 'beat') this.#heartbeats.send(host, true);
   }
 
-  /** Adds hosts that a peer has told of; what they say of themselves goes first. */
+  /** Adds hosts that a peer has reported. What a host reports of itself takes precedence. */
   #addReportedMembers(members: readonly WireMember[]): void {
     for (const [host, address, port, availabilityZone, capacity] of members) {
       this.#add({ host, address, port, availabilityZone, capacity });
     }
   }
 
-  /** False where it was known, or is this host. */
+  /** Returns false if the host was known already or is this one. */
   #add(peer: PeerAddress): boolean {
     return peer.host !== this.parts.self.host && this.#peers.add(peer);
   }
@@ -293,13 +302,16 @@
     for (const host of this.#departed.takePermanentlyGone()) this.#reportGone(host);
   }
 
-  /** One of the first hosts says who is gone, unless it may itself be the one that is cut off. */
+  /**
+   * Coordinators report hosts that are gone. One that hears from fewer than half of its peers reports
+   * none, as it may itself be cut off by a network partition.
+   */
   #reportGone(host: string): void {
     const hearsFromMost = this.#peers.aliveCount * 2 >= this.#peers.size;
     if (this.#peers.isCoordinator() && hearsFromMost) this.parts.onGone(host);
   }
 
-  /** One of the first hosts, which all others ask, tells all of those that have come. */
+  /** Coordinators, from which all others request heartbeats, announce new hosts to every known host. */
   #announceNewcomers(): void {
     const newcomers = [...this.#newcomers].flatMap((host) => this.#peers.find(host) ?? []);
     this.#newcomers.clear();
--- a/packages/relay/src/peers/peer-rank.ts
+++ b/packages/relay/src/peers/peer-rank.ts
@@ -5,7 +5,7 @@
   return left.host < right.host ? -1 : 1;
 }
 
-/** How many hosts as large as each come before it in its availability zone, by host. */
+/** For each host, the number of hosts of the same availability zone and capacity that sort before it. */
 function zoneRanksOf(sorted: readonly PeerAddress[]): ReadonlyMap<string, number> {
   const seen = new Map<string, number>();
   const zoneRanks = new Map<string, number>();
@@ -19,10 +19,10 @@
 }
 
 /**
- * The order in which hosts take on work for all others; every host that knows the same ones finds
- * the same. Large hosts come first, as this work grows with the fleet and a small link or processor
- * holds up everybody; of equals the availability zones by turns, so that the loss of one zone
- * leaves others near the front.
+ * Ranks hosts for the work that they do on behalf of all; every host that knows the same hosts
+ * computes the same order. Hosts with more capacity come first, as this work grows with the fleet
+ * and a slow network link or CPU delays every host. Hosts of equal capacity alternate between
+ * availability zones, so that hosts near the front remain after the loss of one zone.
  */
 export function rankPeers(peers: readonly PeerAddress[]): readonly PeerAddress[] {
   const sorted = [...peers].sort(byCapacityAndName);
