--- a/packages/relay/src/peers/byte-encoding.ts
+++ b/packages/relay/src/peers/byte-encoding.ts
@@ -2,15 +2,15 @@
 import { deflateRawSync, inflateRawSync } from 'node:zlib';
 import type { z } from 'zod';
 
-/** Nothing that a platform keeps in one row is larger. */
+/** Upper bound for the size of a row in the platform's store. */
 const MAX_DECOMPRESSED_BYTES = 8 * 1024 * 1024;
 
-/** Compresses bytes for the way to a peer. */
+/** Compresses bytes for sending them to a peer. */
 export function compressBytes(bytes: Buffer): Buffer {
   return deflateRawSync(bytes);
 }
 
-/** The bytes that were compressed; undefined if these are none. */
+/** Decompresses bytes. Returns undefined if they are not valid compressed data, or too many. */
 export function decompressBytes(packed: Uint8Array): Buffer | undefined {
   try {
     return inflateRawSync(packed, { maxOutputLength: MAX_DECOMPRESSED_BYTES });
@@ -19,7 +19,7 @@
   }
 }
 
-/** What was encoded, checked by its schema; undefined if these bytes are none of that. */
+/** Decodes MessagePack bytes and validates them. Returns undefined if they don't match `schema`. */
 export function decodeAs<Decoded>(
   schema: z.ZodType<Decoded>,
   bytes: Uint8Array,
--- a/packages/relay/src/peers/exchange-parts.ts
+++ b/packages/relay/src/peers/exchange-parts.ts
@@ -3,12 +3,12 @@
 import type { PeerMessage } from './peer-messages.js';
 import type { SenderFields } from './sender-fields.js';
 
-/** What every exchange between hosts needs. */
+/** Dependencies that all exchanges between hosts have in common. */
 export interface ExchangeParts {
   readonly clock: Clock;
   readonly peers: PeerList;
-  /** Sends one message to each of `peers`; any of them may be lost. */
+  /** Sends one message to each of `peers`. Delivery is not guaranteed. */
   readonly send: (peers: readonly Peer[], message: PeerMessage) => void;
-  /** Names this host in messages. */
+  /** Fields that identify this host in messages. */
   readonly senderFields: () => SenderFields;
 }
--- a/packages/relay/src/peers/fragments.ts
+++ b/packages/relay/src/peers/fragments.ts
@@ -1,7 +1,7 @@
-/** A datagram holds 64 KB; what is larger than this goes in several. */
+/** Size of a fragment; larger payloads are sent in several datagrams. A datagram holds 64 KB. */
 const FRAGMENT_BYTES = 16 * 1024;
 
-/** Splits bytes into pieces that fit one datagram each; at least one. */
+/** Splits bytes into fragments that fit one datagram each; returns at least one. */
 export function splitIntoFragments(bytes: Uint8Array): readonly Uint8Array[] {
   const fragments: Uint8Array[] = [];
   for (let from = 0; from < bytes.length || from === 0; from += FRAGMENT_BYTES) {
@@ -10,25 +10,25 @@
   return fragments;
 }
 
-/** One of the pieces of something. */
+/** One fragment of a payload. */
 export interface Fragment {
-  /** Names what it is a piece of. */
+  /** Identifies the payload that it is a part of. */
   readonly name: string;
   readonly index: number;
   readonly count: number;
   readonly bytes: Uint8Array;
 }
 
-/** Things of which pieces are kept; older ones are given up, as they are asked for again. */
+/** Maximum number of incomplete payloads; the oldest is dropped, as it will be requested again. */
 const MAX_INCOMPLETE = 4;
-/** The most pieces of one thing: what a platform keeps in one row fits. */
+/** Maximum number of fragments of one payload; a row of the platform's store fits in them. */
 const MAX_FRAGMENTS = 512;
 
-/** Puts pieces together that come in any order, more than once, or not at all. */
+/** Reassembles payloads from fragments that arrive in any order, more than once, or not at all. */
 export class FragmentAssembler {
   readonly #incomplete = new Map<string, Map<number, Uint8Array>>();
 
-  /** Takes one piece; the whole once all are there, else undefined. */
+  /** Adds one fragment. Returns the payload once all of its fragments are there, otherwise undefined. */
   add({ name, index, count, bytes }: Fragment): Buffer | undefined {
     if (count > MAX_FRAGMENTS || index >= count) return undefined;
     const fragments = this.#incomplete.get(name) ?? new Map<number, Uint8Array>();
--- a/packages/relay/src/peers/peer-messages.ts
+++ b/packages/relay/src/peers/peer-messages.ts
@@ -3,122 +3,125 @@
 import { decodeAs } from './byte-encoding.js';
 import { planAnswerSchema, planRequestSchema, limitSchema, serverSchema } from './plan-messages.js';
 
-/** An attempt as it is told to peers: durations in place of instants of the sender's clock. */
+/** Wire form of an attempt. Holds durations instead of instants of the sender's clock. */
 const attemptUseSchema = z.tuple([
   z.string().describe('attempt'),
   z.string().describe('writer'),
   z.array(z.string()).describe('readers'),
-  z.number().describe('reading time on each engine'),
+  z.number().describe('prefill time on each engine'),
   z.number().describe('context tokens'),
-  z.number().describe('allowed pause'),
-  z.boolean().describe('is still reading'),
-  z.number().describe('placed ago'),
-  z.number().describe('dropped in'),
-  z.array(z.tuple([z.string(), z.number()])).describe('memory held, by engine'),
+  z.number().describe('target for the gap between events'),
+  z.boolean().describe('is in prefill'),
+  z.number().describe('time since placement'),
+  z.number().describe('time until expiry'),
+  z.array(z.tuple([z.string(), z.number()])).describe('reserved memory by engine'),
 ]);
 
 const senderShape = {
   host: z.string(),
-  /** New with each start of the process. */
+  /** Changes with each start of the process. */
   incarnation: z.string(),
   port: z.number(),
 };
 
 const terminationSchema = z.tuple([
   z.string().min(1).describe('server'),
-  z.string().min(1).describe('host that found it'),
-  z.number().min(0).describe('ago'),
+  z.string().min(1).describe('host that detected it'),
+  z.number().min(0).describe('time since then'),
 ]);
 const MAX_REPORTED_TERMINATIONS = 3;
-/** A request under which servers ended: durations in place of instants of the sender's clock. */
+/**
+ * Wire form of a quarantine entry, for a request during which servers terminated. Holds durations
+ * instead of instants of the sender's clock.
+ */
 const quarantineEntrySchema = z.tuple([
   z.string().min(1).describe('content'),
   z.int().min(0).describe('round'),
-  z.int().min(0).describe('ends'),
-  z.number().min(0).describe('held for'),
-  z.number().min(0).describe('changed ago'),
-  z.array(terminationSchema).max(MAX_REPORTED_TERMINATIONS).describe('last ends'),
+  z.int().min(0).describe('number of terminations'),
+  z.number().min(0).describe('remaining hold time'),
+  z.number().min(0).describe('time since the last change'),
+  z.array(terminationSchema).max(MAX_REPORTED_TERMINATIONS).describe('last terminations'),
 ]);
 
-/** Sent every half second and as an answer to a new peer; holds all that the sender runs. */
+/** Heartbeat: sent every half second and as an answer to a new peer; carries all attempts that the sender runs. */
 const heartbeatSchema = z.object({
   kind: z.literal('beat'),
   ...senderShape,
-  /** The sender's clock. */
+  /** Time on the sender's clock. */
   sentAtMs: z.number(),
-  /** The last beat that the sender got from the receiver: whose life sent it, and its `sentAtMs`. */
+  /** The last heartbeat that the sender received from the receiver: its incarnation and `sentAtMs`. */
   echo: z.object({ incarnation: z.string(), sentAtMs: z.number() }).nullable(),
-  /** Whether the sender's way to the store is broken. */
+  /** Whether the sender can't reach the store. */
   isStoreLost: z.boolean(),
-  /** Whether the receiver is asked to answer at once with a beat of its own. */
+  /** Whether the receiver has to answer at once with a heartbeat of its own. */
   isQuestion: z.boolean(),
   configurationVersion: z.number(),
   configurationAgeMs: z.number().nullable(),
-  /** Stands for the list of backend servers as the sender knows it. */
+  /** Digest of the list of backend servers that the sender knows. */
   listDigest: z.string(),
   listVersion: z.number(),
   listAgeMs: z.number().nullable(),
   availabilityZone: z.string(),
-  /** Processor that the sender has, in cores of the usual speed; large hosts plan first. */
+  /** CPU capacity of the sender, in cores of the reference speed; hosts with more capacity plan first. */
   capacity: z.number(),
-  /** How many hosts the sender knows, itself included. */
+  /** Number of hosts that the sender knows, itself included. */
   memberCount: z.number(),
-  /** Whether the sender knows the configuration and the servers, without which nobody can plan. */
+  /** Whether the sender has the configuration and the servers, which planning needs. */
   canPlan: z.boolean(),
-  /** All that the sender runs; null where the receiver need not know. */
+  /** All attempts that the sender runs; null if the receiver need not know them. */
   uses: z.array(attemptUseSchema).nullable(),
-  /** Some of the requests that the sender knows to have ended servers; a release before this says nothing of it. */
+  /** Some of the requests that the sender knows to have terminated servers. Earlier releases omit this field. */
   quarantine: z.array(quarantineEntrySchema).default([]),
-  /** Some of the limits that servers name; a release before this says nothing of it. */
+  /** Some of the rate limits that servers report. Earlier releases omit this field. */
   limits: z.array(limitSchema).default([]),
 });
 
-/** Sent to planners when an attempt begins. */
+/** Sent to planners when an attempt starts. */
 const beginSchema = z.object({
   kind: z.literal('begin'),
   ...senderShape,
   use: attemptUseSchema,
 });
-/** Sent to the planner of a service. */
+/** Plan request, sent to a planner of a service. */
 const planRequestMessageSchema = z.object({
   kind: z.literal('ask'),
   ...senderShape,
   ask: planRequestSchema,
 });
-/** Sent by a planner to the host that asked. */
+/** Answer to a plan request, sent by the planner. */
 const planAnswerMessageSchema = z.object({
   kind: z.literal('plan'),
   ...senderShape,
   attempt: z.string(),
   answer: planAnswerSchema,
 });
-/** Sent to a planner when a request won't run by its plan. */
+/** Sent to a planner when an attempt will not run according to its plan. */
 const withdrawSchema = z.object({
   kind: z.literal('withdraw'),
   ...senderShape,
   attempt: z.string(),
 });
-/** Sent to planners when the first event of a long read has come, and when an attempt has ended. */
+/** Sent to planners when the first event after a long prefill has arrived, and when an attempt has ended. */
 const attemptProgressSchema = z.object({
   kind: z.enum(['read', 'end']),
   ...senderShape,
   attempt: z.string(),
 });
-/** Sent when a server was found silent or unreachable. */
+/** Sent when a server does not respond or can't be reached. */
 const suspectSchema = z.object({
   kind: z.literal('suspect'),
   ...senderShape,
   server: z.string(),
   forMs: z.number(),
 });
-/** Backend servers as they are told to peers; one that can't be used does not spoil the others. */
+/** Wire form of a list of backend servers. Invalid entries are skipped; the others remain usable. */
 export const serversSchema = z.array(z.unknown()).transform((rows) =>
   rows.flatMap((row) => {
     const server = serverSchema.safeParse(row);
     return server.success ? [server.data] : [];
   }),
 );
-/** Sent when another server was found at the address of a listed one. */
+/** Sent when another server answers at the address of a listed one. */
 const serverGoneSchema = z.object({
   kind: z.literal('gone'),
   ...senderShape,
@@ -128,8 +131,8 @@
 const bytesSchema = z.custom<Uint8Array>((value) => value instanceof Uint8Array);
 
 /**
- * One piece of the configuration or of the list of servers, compressed. Sent by a host that reads
- * the store when it has changed, and to whoever wants it.
+ * One fragment of the compressed configuration or server list. Sent by a store reader after a
+ * change in the store, and in answer to a `want` message.
  */
 const stateFragmentSchema = z.object({
   kind: z.literal('told'),
@@ -139,25 +142,25 @@
   index: z.number(),
   count: z.number(),
   bytes: bytesSchema,
-  /** Whether the receiver passes it on within its availability zone. */
+  /** Whether the receiver has to forward it within its availability zone. */
   passOn: z.boolean(),
 });
-/** What has changed in the list of servers, sent in place of the whole. */
+/** Server list delta: the difference between two lists, sent instead of the whole list. */
 const listDeltaSchema = z.object({
   kind: z.literal('list_change'),
   ...senderShape,
-  /** Stands for the list that is changed. */
+  /** Digest of the list that the delta is based on. */
   fromDigest: z.string(),
-  /** Stands for the changed list. */
+  /** Digest of the resulting list. */
   digest: z.string(),
   version: z.number(),
   graceMs: z.number(),
-  /** Servers that came or of which anything changed. */
+  /** Servers that were added, or of which any field changed. */
   servers: serversSchema,
   goneIds: z.array(z.string()),
   passOn: z.boolean(),
 });
-/** Asks a peer that knows more for the whole of it. */
+/** Requests the whole configuration or server list from a peer that has a newer one. */
 const stateRequestSchema = z.object({
   kind: z.literal('want'),
   ...senderShape,
@@ -165,7 +168,7 @@
   listDigest: z.string(),
   listVersion: z.number(),
 });
-/** Hosts that have come lately, told to all that may not have heard of them. */
+/** Announces new hosts to all that may not know them yet. */
 const membersSchema = z.object({
   kind: z.literal('members'),
   ...senderShape,
@@ -179,33 +182,36 @@
     ]),
   ),
 });
-/** Sent when a server has ended under a request, or one was served under which servers had ended. */
+/**
+ * Sent when a server terminated while running a request, or when a request was served during which
+ * servers had terminated before.
+ */
 const quarantineMessageSchema = z.object({
   kind: z.literal('quarantine'),
   ...senderShape,
   entries: z.array(quarantineEntrySchema),
-  /** Whether the receiver passes on what is news to it within its availability zone. */
+  /** Whether the receiver has to forward what is new to it within its availability zone. */
   passOn: z.boolean(),
 });
-/** Sent when a server has said that it leaves. */
+/** Sent when a server has announced that it leaves. */
 const serverLeavingSchema = z.object({
   kind: z.literal('leaving'),
   ...senderShape,
   server: serverSchema,
-  /** Time since it said so first. */
+  /** Time since its first announcement. */
   agoMs: z.number().min(0),
-  /** Whether the receiver passes on what is news to it within its availability zone. */
+  /** Whether the receiver has to forward what is new to it within its availability zone. */
   passOn: z.boolean(),
 });
-/** Sent when servers name limits, change them or name them no more. */
+/** Sent when servers report rate limits, change them or no longer report them. */
 const limitsMessageSchema = z.object({
   kind: z.literal('limits'),
   ...senderShape,
   limits: z.array(limitSchema),
-  /** Whether the receiver passes on what is news to it within its availability zone. */
+  /** Whether the receiver has to forward what is new to it within its availability zone. */
   passOn: z.boolean(),
 });
-/** Sent on a planned stop. */
+/** Sent by a host that leaves, on a planned stop of its relay. */
 const hostLeavingSchema = z.object({ kind: z.literal('leave'), ...senderShape });
 
 const messageSchema = z.union([
@@ -231,23 +237,23 @@
 export type PeerMessage = z.infer<typeof messageSchema>;
 /** The heartbeat of a relay. */
 export type Heartbeat = z.infer<typeof heartbeatSchema>;
-/** One piece of what a host tells. */
+/** One fragment of a configuration or server list. */
 export type StateFragmentMessage = z.infer<typeof stateFragmentSchema>;
-/** A change of the list of servers on its way. */
+/** A message with a server list delta. */
 export type ListDeltaMessage = z.infer<typeof listDeltaSchema>;
-/** A question for what its sender does not know. */
+/** A request for a configuration or server list that its sender does not have. */
 export type StateRequestMessage = z.infer<typeof stateRequestSchema>;
-/** A host on its way. */
+/** Wire form of a host. */
 export type WireMember = z.infer<typeof membersSchema>['members'][number];
-/** A request under which servers ended, on its way. */
+/** Wire form of a quarantine entry. */
 export type WireQuarantineEntry = z.infer<typeof quarantineEntrySchema>;
-/** What a host tells of such requests at once. */
+/** A message with quarantine entries. */
 export type QuarantineMessage = z.infer<typeof quarantineMessageSchema>;
-/** What a host tells of a server that leaves. */
+/** A message about a server that leaves. */
 export type ServerLeavingMessage = z.infer<typeof serverLeavingSchema>;
-/** What a host tells of limits at once. */
+/** A message with rate limits of servers. */
 export type LimitsMessage = z.infer<typeof limitsMessageSchema>;
-/** An attempt on the way to a peer. */
+/** Wire form of an attempt. */
 export type WireAttemptUse = z.infer<typeof attemptUseSchema>;
 
 /** Encodes a message as one datagram. */
@@ -255,7 +261,7 @@
   return pack(message);
 }
 
-/** Decodes a datagram; undefined if it is none of ours. */
+/** Decodes a datagram. Returns undefined if it is not a valid peer message. */
 export function decodeMessage(datagram: Buffer): PeerMessage | undefined {
   return decodeAs(messageSchema, datagram);
 }
--- a/packages/relay/src/peers/plan-messages.ts
+++ b/packages/relay/src/peers/plan-messages.ts
@@ -2,7 +2,7 @@
 import { z } from 'zod';
 
 const MAX_PORT = 65_535;
-/** A backend server as it is told to peers. */
+/** Wire form of a backend server. */
 export const serverSchema = z.tuple([
   z.string().min(1).describe('id'),
   z.string().min(1).describe('service'),
@@ -11,17 +11,17 @@
   z.string().describe('availability zone'),
   z.int().positive().describe('slots'),
   z.boolean().describe('is draining'),
-  z.int().nullable().describe('Unix time of its birth'),
+  z.int().nullable().describe('Unix time of its start'),
 ]);
-/** What a server said last of the requests a second that it takes from all hosts. */
+/** Wire form of the rate limit that a server reported last, which applies to all hosts together. */
 export const limitSchema = z.tuple([
   serverSchema,
-  z.number().min(0).describe('requests a second'),
-  z.boolean().describe('is over'),
-  z.number().min(0).describe('said ago'),
+  z.number().min(0).describe('requests per second'),
+  z.boolean().describe('is lifted'),
+  z.number().min(0).describe('time since the report'),
 ]);
 
-/** What a host asks of a planner: durations in place of instants of the sender's clock. */
+/** Wire form of a plan request. Holds durations instead of instants of the sender's clock. */
 export const planRequestSchema = z.object({
   attempt: z.string(),
   request: z.string(),
@@ -32,26 +32,26 @@
   answerTokens: z.number(),
   aimMs: z.number(),
   gapAimMs: z.number(),
-  /** Time since the request came. */
+  /** Time since the request arrived. */
   waitedMs: z.number(),
   silentMs: z.number(),
-  /** Time until its caller's limit. */
+  /** Time until the caller's deadline. */
   leftMs: z.number(),
   isRepeated: z.boolean(),
   avoidedIds: z.array(z.string()),
-  /** A release before this one knows of none, and names them among those that are avoided. */
+  /** Earlier releases omit this field, and list these servers in `avoidedIds`. */
   excludedIds: z.array(z.string()).default([]),
-  /** How long it may wait for a place where all servers name limits. */
+  /** How long it may wait for a permit if all servers report rate limits. */
   waitsForLimitMs: z.number().optional(),
   content: z.string().optional(),
   permit: z.object({ serverIds: z.array(z.string()), isSent: z.boolean() }).optional(),
-  /** Limits of servers of the service, as the host knows them. */
+  /** Rate limits of servers of the service that the host knows. */
   limits: z.array(limitSchema).default([]),
 });
 
 const ruleSchema = z.enum(PLACEMENT_RULES);
 
-/** What a planner answers. */
+/** Wire form of a planner's answer. */
 export const planAnswerSchema = z.discriminatedUnion('kind', [
   z.object({
     kind: z.literal('place'),
@@ -64,7 +64,7 @@
       expectedFirstMs: z.number(),
       writersBefore: z.number(),
       readingBeforeMs: z.number(),
-      /** A release before this one knows of no limits. */
+      /** Earlier releases know no rate limits, and omit this field. */
       permittedIds: z.array(z.string()).default([]),
     }),
   }),
@@ -77,11 +77,11 @@
   }),
 ]);
 
-/** A backend server on its way. */
+/** Wire form of a backend server. */
 export type WireServer = z.infer<typeof serverSchema>;
-/** What a server said of a limit, on its way. */
+/** Wire form of a server's rate limit. */
 export type WireLimit = z.infer<typeof limitSchema>;
-/** A planner's answer on its way. */
+/** Wire form of a planner's answer. */
 export type WirePlanAnswer = z.infer<typeof planAnswerSchema>;
-/** A question to a planner on its way. */
+/** Wire form of a plan request. */
 export type WirePlanRequest = z.infer<typeof planRequestSchema>;
--- a/packages/relay/src/peers/planning-wire-format.ts
+++ b/packages/relay/src/peers/planning-wire-format.ts
@@ -4,7 +4,7 @@
 import type { WireAttemptUse } from './peer-messages.js';
 import type { WirePlanAnswer, WirePlanRequest } from './plan-messages.js';
 
-/** An attempt for the wire, as of `nowMs`. */
+/** Converts an attempt to its wire form as of `nowMs`. */
 export function toWireAttemptUse(use: AttemptUse, nowMs: Milliseconds): WireAttemptUse {
   return [
     use.attemptId,
@@ -20,7 +20,7 @@
   ];
 }
 
-/** An attempt of `host` from the wire, on this process's clock. */
+/** Converts an attempt of `host` from its wire form, with times on this process's clock. */
 export function fromWireAttemptUse(
   wire: WireAttemptUse,
   host: string,
@@ -43,7 +43,7 @@
   };
 }
 
-/** A question to a planner for the wire, as of `nowMs`. */
+/** Converts a plan request to its wire form as of `nowMs`. */
 export function toWirePlanRequest(
   request: PlanRequest,
   nowMs: Milliseconds,
@@ -75,7 +75,7 @@
   };
 }
 
-/** A question of `host` from the wire, on this process's clock. */
+/** Converts a plan request of `host` from its wire form, with times on this process's clock. */
 export function fromWirePlanRequest(
   wire: WirePlanRequest,
   host: string,
@@ -94,7 +94,7 @@
   };
 }
 
-/** A planner's answer for the wire. */
+/** Converts a planner's answer to its wire form. */
 export function toWirePlanAnswer(answer: PlanAnswer): WirePlanAnswer {
   if (answer.kind !== 'place') return answer;
   const { stream } = answer;
--- a/packages/relay/src/peers/quarantine-wire-format.ts
+++ b/packages/relay/src/peers/quarantine-wire-format.ts
@@ -6,7 +6,7 @@
   return Math.max(0, Math.round(durationMs));
 }
 
-/** An entry as it is told to peers. */
+/** Converts an entry to its wire form as of `nowMs`. */
 export function toWireQuarantine(entry: QuarantineEntry, nowMs: Milliseconds): WireQuarantineEntry {
   const { content, round, ends, quarantinedUntilMs, changedAtMs, lastTerminations } = entry;
   const remainingMs = toWholeMs(quarantinedUntilMs - nowMs);
@@ -18,7 +18,7 @@
   return [content, round, ends, remainingMs, toWholeMs(nowMs - changedAtMs), terminations];
 }
 
-/** An entry that a peer has told; the way of the message makes its instants a little late. */
+/** Converts an entry from its wire form. The transit time of the message makes its instants slightly late. */
 export function fromWireQuarantine(
   [content, round, ends, remainingMs, changedAgoMs, terminations]: WireQuarantineEntry,
   nowMs: Milliseconds,
--- a/packages/relay/src/peers/sender-fields.ts
+++ b/packages/relay/src/peers/sender-fields.ts
@@ -1,7 +1,7 @@
-/** Names the sender in each message. */
+/** Fields that identify the sender in each message. */
 export interface SenderFields {
   readonly host: string;
-  /** New with each start of its process. */
+  /** Changes with each start of its process. */
   readonly incarnation: string;
   readonly port: number;
 }
--- a/packages/relay/src/peers/server-wire-format.ts
+++ b/packages/relay/src/peers/server-wire-format.ts
@@ -12,26 +12,26 @@
   servers: serversSchema,
 });
 
-/** A backend server for the wire. */
+/** Converts a backend server to its wire form. */
 export function toWireServer(server: BackendServer): WireServer {
   const { id, service, address, port, availabilityZone, slots, isDraining, startedAtMs } = server;
   return [id, service, address, port, availabilityZone, slots, isDraining, startedAtMs ?? null];
 }
 
-/** A backend server from the wire. */
+/** Converts a backend server from its wire form. */
 export function fromWireServer(wire: WireServer): BackendServer {
   const [id, service, address, port, availabilityZone, slots, isDraining, born] = wire;
   const startedAtMs = born ?? undefined;
   return { id, service, address, port, availabilityZone, slots, isDraining, startedAtMs };
 }
 
-/** The whole list of servers, compressed. */
+/** Encodes and compresses the whole server list. */
 export function encodeList({ servers, version, graceMs }: ServerListSnapshot): Buffer {
   const wire = { version, graceMs: Math.round(graceMs), servers: servers.map(toWireServer) };
   return compressBytes(pack(wire));
 }
 
-/** The list of servers that was compressed; undefined if this is none. */
+/** Decompresses and decodes a server list. Returns undefined if the bytes hold none. */
 export function decodeList(packed: Uint8Array): ServerListSnapshot | undefined {
   const bytes = decompressBytes(packed);
   const list = bytes && decodeAs(listSchema, bytes);
