--- a/packages/relay/src/peers/attempt-exchange.ts
+++ b/packages/relay/src/peers/attempt-exchange.ts
@@ -15,34 +15,34 @@
   toWireAttemptUse,
 } from './planning-wire-format.js';
 
-/** What the exchange needs. */
+/** Dependencies of `AttemptExchange`. */
 export interface AttemptExchangeParts extends ExchangeParts {
-  /** Names this host. */
+  /** Name of this host. */
   readonly host: string;
   readonly fleet: FleetView;
   readonly planner: Planner;
   readonly syncState: StoreSyncState;
   readonly limitExchange: LimitExchange;
-  /** Services of engines that this host may have to plan for or ask for plans. */
+  /** Names of the engine services, for which this host may be a planner or request plans. */
   readonly engineServices: () => readonly string[];
 }
 
-/** Asks other hosts for plans, plans for them, and tells those who plan what runs and which servers fail. */
+/** Requests plans from other hosts, plans for them, and reports attempts and server failures to the planners. */
 export class AttemptExchange {
   constructor(readonly parts: AttemptExchangeParts) {}
 
-  /** Hosts that plan for a service, the first in rank before others; this host may be among them. */
+  /** Hosts that plan for a service, in rank order; may include this host. */
   plannersOf(service: string): readonly string[] {
     const { engineServices, peers } = this.parts;
     return peers.plannersOf(Math.max(0, engineServices().indexOf(service)));
   }
 
-  /** Whether `host` has to know what this one runs. */
+  /** Whether `host` is a planner, which has to know the attempts of this host. */
   isPlanner(host: string): boolean {
     return this.parts.engineServices().some((service) => this.plannersOf(service).includes(host));
   }
 
-  /** Asks `planner`; the answers come as messages, or are lost. */
+  /** Sends a plan request to `planner`. The answers arrive as messages, unless they are lost. */
   askPlan(planner: string, request: PlanRequest): void {
     const { clock, limitExchange } = this.parts;
     const limits = limitExchange.forPlanRequest(request.service);
@@ -50,12 +50,12 @@
     this.#sendTo(planner, { kind: 'ask', ...this.parts.senderFields(), ask });
   }
 
-  /** Tells `planner` that an attempt won't run by its plan. */
+  /** Notifies `planner` that an attempt will not run according to its plan. */
   withdrawPlan(planner: string, attemptId: string): void {
     this.#sendTo(planner, { kind: 'withdraw', ...this.parts.senderFields(), attempt: attemptId });
   }
 
-  /** Plans for `host`; it is told each answer. */
+  /** Submits a plan request of `host` to the planner, and sends each answer to `host`. */
   onPlanRequest(ask: WirePlanRequest, host: string): void {
     const { clock, limitExchange, planner, senderFields } = this.parts;
     const { attempt, limits } = ask;
@@ -66,14 +66,14 @@
     });
   }
 
-  /** An attempt begins; planners of `service` are told, where there are any. */
+  /** Records that an attempt starts, and notifies the planners of `service`; none if it is undefined. */
   begin(use: AttemptUse, service: string | undefined): void {
     this.parts.fleet.begin(use);
     const wire = toWireAttemptUse(use, this.parts.clock.monotonicMs());
     this.#notifyPlanners(service, { kind: 'begin', ...this.parts.senderFields(), use: wire });
   }
 
-  /** The first event of an attempt has come. `service`: undefined where planners need not know. */
+  /** Records the first event of an attempt. `service` is undefined if planners need not be notified. */
   onPrefillDone(attemptId: string, service: string | undefined): void {
     this.parts.fleet.onPrefillDone(attemptId);
     this.#notifyPlanners(service, {
@@ -83,7 +83,7 @@
     });
   }
 
-  /** An attempt is over, or won't begin. */
+  /** Records that an attempt has ended or will not start. */
   end(attemptId: string, service: string | undefined): void {
     this.parts.fleet.end(attemptId);
     this.#notifyPlanners(service, {
@@ -94,8 +94,8 @@
   }
 
   /**
-   * A server failed, so all hosts that choose among those of its service avoid it; for how long from
-   * now.
+   * Makes all hosts that select among the servers of `service` avoid a failed one. Returns for how
+   * long from now.
    */
   suspect(server: string, service: string): Milliseconds {
     const { clock, fleet, senderFields } = this.parts;
@@ -108,9 +108,10 @@
   }
 
   /**
-   * A listed server is gone, so all hosts that choose among those of its service leave it out. Where
-   * each host finds that out by itself, 322 of 2,218 attempts go to addresses that another engine has,
-   * in 33 s in which 31 of 60 engines start again behind cuts; where it is told, 38 of 1,979.
+   * Makes all hosts that select among the servers of its service exclude a listed server that is
+   * gone. If each host finds that out by itself, 322 of 2,218 attempts go to addresses that another
+   * engine has taken over, in 33 s in which 31 of 60 engines restart behind network partitions; with
+   * this broadcast, 38 of 1,979.
    */
   broadcastServerGone(server: BackendServer): void {
     const { host, syncState, senderFields } = this.parts;
@@ -124,7 +125,7 @@
     for (const host of this.plannersOf(service)) this.#sendTo(host, message);
   }
 
-  /** Planners choose among engines, every host among the servers of plain services. */
+  /** Sends to the planners for a service of engines, as they select among those, and to every host for others. */
   #notifySelectingHosts(service: string, message: PeerMessage): void {
     const { engineServices, peers, send } = this.parts;
     if (engineServices().includes(service)) this.#notifyPlanners(service, message);
--- a/packages/relay/src/peers/batched-broadcast.ts
+++ b/packages/relay/src/peers/batched-broadcast.ts
@@ -1,21 +1,21 @@
 import type { Clock, Milliseconds } from '@poppypond/core';
 import type { ZoneBroadcast } from './zone-broadcast.js';
 
-/** What batched news needs. */
+/** Dependencies of `BatchedBroadcast`. */
 export interface BatchedBroadcastParts<Entry> {
   readonly clock: Clock;
   readonly broadcast: ZoneBroadcast<readonly Entry[]>;
-  /** What holds of a subject as it is told; undefined where nothing does any more. */
+  /** The entry of a subject at the time of sending; undefined if there is none any more. */
   readonly find: (subject: string) => Entry | undefined;
 }
 
-/** Pause between messages: of sixteen entries, 2.3 KB, so 23 KB a second at the most. */
+/** Minimum interval between messages, of 16 entries or 2.3 KB each: at most 23 KB per second. */
 const MIN_SEND_INTERVAL_MS: Milliseconds = 100;
 const MAX_BATCH_SIZE = 16;
-/** What is not told at once for want of room goes with the heartbeats. */
+/** Subjects beyond this number are not queued; heartbeats carry their entries. */
 const MAX_QUEUED = 128;
 
-/** Tells all hosts of subjects that change, each as it is when its turn has come, in a bounded number of messages. */
+/** Broadcasts the entries of changed subjects, as they are at the time of sending, in a bounded number of messages. */
 export class BatchedBroadcast<Entry> {
   readonly #queued = new Set<string>();
   #sentAtMs: Milliseconds = Number.NEGATIVE_INFINITY;
@@ -23,7 +23,7 @@
 
   constructor(readonly parts: BatchedBroadcastParts<Entry>) {}
 
-  /** These subjects have changed. */
+  /** Queues subjects that have changed. */
   publish(subjects: Iterable<string>): void {
     for (const subject of subjects) {
       if (this.#queued.size < MAX_QUEUED) this.#queued.add(subject);
--- a/packages/relay/src/peers/datagram-sender.ts
+++ b/packages/relay/src/peers/datagram-sender.ts
@@ -5,15 +5,15 @@
 import type { PeerMessage } from './peer-messages.js';
 import type { PeerSender } from './peer-mesh.js';
 
-/** Called with each message and the address that it came from. */
+/** Called with each message and the network address of its sender. */
 export type MessageListener = (message: PeerMessage, address: string) => void;
 
-/** Sends and receives peer messages as datagrams. */
+/** Sends and receives peer messages as UDP datagrams. */
 export class DatagramSender implements PeerSender {
   #lastMessage: PeerMessage | undefined;
   #lastBytes: Buffer = Buffer.alloc(0);
   #isClosed = false;
-  /** Messages that the system has not taken yet. */
+  /** Number of messages that the operating system has not accepted yet. */
   #pending = 0;
 
   private constructor(
@@ -21,7 +21,7 @@
     readonly measures: Measures,
   ) {}
 
-  /** Binds `address:port`; rejects when it is taken. */
+  /** Binds `address:port`. Rejects if the port is in use. */
   static async bind(address: string, port: number, measures: Measures, listener: MessageListener) {
     const socket = createSocket('udp4');
     await new Promise<void>((resolve, reject) => {
@@ -29,7 +29,7 @@
       socket.bind(port, address, resolve);
     });
     socket.removeAllListeners('error');
-    // Sending to a host that is gone may fail at any time; heartbeats tell who is there.
+    // Sending to a host that is gone may fail at any time; heartbeats show which hosts are alive.
     socket.on('error', () => undefined);
     socket.on('message', (datagram, from) => {
       const message = decodeMessage(datagram);
@@ -54,7 +54,7 @@
     });
   }
 
-  /** Sends nothing more; what was sent before goes out still, as the last word of a host that leaves. */
+  /** Sends nothing more. Messages sent before still go out, such as the `leave` message of a host that stops. */
   close(): void {
     this.#isClosed = true;
     this.#closeWhenSent();
--- a/packages/relay/src/peers/heartbeat-exchange.ts
+++ b/packages/relay/src/peers/heartbeat-exchange.ts
@@ -10,10 +10,10 @@
 import type { StoreSyncState } from './store-sync-state.js';
 import { fromWireAttemptUse } from './planning-wire-format.js';
 
-/** Silent hosts that each of the first hosts greets in a period, each in its turn. */
+/** Number of silent hosts to which each coordinator sends a heartbeat per period, in rotation. */
 const SILENT_PEERS_PER_PERIOD = 4;
 
-/** What heartbeats need. */
+/** Dependencies of `HeartbeatExchange`. */
 export interface HeartbeatExchangeParts extends ExchangeParts {
   readonly self: PeerAddress & { readonly incarnation: string };
   readonly fleet: FleetView;
@@ -21,19 +21,19 @@
   readonly syncState: StoreSyncState;
   readonly quarantineExchange: QuarantineExchange;
   readonly limitExchange: LimitExchange;
-  /** How many services of engines there are. */
+  /** Number of engine services. */
   readonly engineServiceCount: () => number;
-  /** Whether a host has to know what this one runs. */
+  /** Whether a host is a planner, which has to know the attempts of this one. */
   readonly isPlanner: (host: string) => boolean;
 }
 
-/** Exchanges heartbeats with the few hosts that have to know of this one, and it of them. */
+/** Exchanges heartbeats with the few hosts that this one depends on, and that depend on it. */
 export class HeartbeatExchange {
   #silentOffset = 0;
 
   constructor(readonly parts: HeartbeatExchangeParts) {}
 
-  /** Asks all that this host has to hear of, and greets some that are silent. */
+  /** Requests heartbeats from all peers that this host depends on, and from some silent ones. */
   requestFromPeers(): void {
     const { engineServiceCount, peers } = this.parts;
     const queried = peers.peersToQuery(engineServiceCount());
@@ -42,7 +42,7 @@
     this.#requestFromSilentPeers();
   }
 
-  /** Sends one heartbeat. `isQuestion`: whether one is to come back at once. */
+  /** Sends one heartbeat. `isQuestion`: whether the peer has to answer at once with its own. */
   send(host: string, isQuestion: boolean): void {
     const { clock, fleet, isPlanner, syncState, peers, planner, self } = this.parts;
     const { limitExchange, quarantineExchange } = this.parts;
@@ -60,7 +60,7 @@
     this.parts.send([peer], makeHeartbeat({ self, fleet, syncState, ...told }, peer));
   }
 
-  /** Takes in what a heartbeat tells, and answers where it asks. */
+  /** Applies a heartbeat, and answers it if it requests an answer. */
   onHeartbeat(beat: Heartbeat): void {
     const { fleet, syncState, limitExchange, peers, quarantineExchange, self } = this.parts;
     const nowMs: Milliseconds = this.parts.clock.monotonicMs();
@@ -76,8 +76,10 @@
   }
 
   /**
-   * What is told is not dated, and a host that has just started may serve nothing by it: the next
-   * heartbeat would come up to a second later, in which all that it is asked is refused.
+   * Requests a heartbeat from `host` if the age of this host's configuration or server list is
+   * unknown. State received from peers is not dated, and a host that has just started may serve
+   * nothing based on it. The next regular heartbeat would arrive up to a second later, and until
+   * then every request would be refused.
    */
   requestConfirmation(host: string): void {
     const { configurationAgeMs, listAgeMs } = this.parts.syncState;
@@ -85,8 +87,8 @@
   }
 
   /**
-   * The first hosts greet those that are silent, a few a period and each in its turn: a host that
-   * has started while the store is away knows nobody and is told by them what it needs to serve.
+   * Coordinators send heartbeats to silent hosts, a few per period and in rotation: a host that has
+   * started during a store outage knows no other host, and gets what it needs to serve from them.
    */
   #requestFromSilentPeers(): void {
     const { peers } = this.parts;
--- a/packages/relay/src/peers/heartbeat.ts
+++ b/packages/relay/src/peers/heartbeat.ts
@@ -6,23 +6,23 @@
 import type { DatedStoreVersions, StoreSyncState } from './store-sync-state.js';
 import { toWireAttemptUse } from './planning-wire-format.js';
 
-/** What a heartbeat is made from. */
+/** Inputs for a heartbeat. */
 export interface HeartbeatInputs {
   readonly self: PeerAddress & { readonly incarnation: string };
   readonly fleet: FleetView;
   readonly syncState: StoreSyncState;
   readonly canPlan: boolean;
-  /** Whether the receiver plans, so that it has to know what this host runs. */
+  /** Whether the receiver is a planner, which has to know the attempts of this host. */
   readonly isPlanner: boolean;
-  /** Hosts that this one knows, itself included. */
+  /** Number of hosts that this one knows, itself included. */
   readonly memberCount: number;
-  /** Whether the receiver is asked to answer at once. */
+  /** Whether the receiver has to answer at once. */
   readonly isQuestion: boolean;
-  /** Requests under which servers ended. */
+  /** Requests during which servers terminated. */
   readonly quarantine: WireQuarantineEntry[];
-  /** Limits that servers name. */
+  /** Rate limits that servers report. */
   readonly limits: WireLimit[];
-  /** The sender's monotonic clock. */
+  /** Time on the sender's monotonic clock. */
   readonly nowMs: Milliseconds;
 }
 
@@ -35,7 +35,7 @@
   return { incarnation, sentAtMs: lastSentAtMs };
 }
 
-/** The heartbeat of this host for `peer`. */
+/** Creates this host's heartbeat for `peer`. */
 export function makeHeartbeat(inputs: HeartbeatInputs, peer: Peer): Heartbeat {
   const { self, fleet, syncState, isPlanner, nowMs } = inputs;
   const { canPlan, memberCount, isQuestion, quarantine, limits } = inputs;
@@ -63,15 +63,16 @@
 }
 
 /**
- * What the sender of `beat` knew of the store, in instants of this process's clock; undefined where
- * it echoes no heartbeat of this process.
+ * The store versions that the sender of `beat` reports, with times on this process's clock. Returns
+ * undefined if `beat` echoes no heartbeat of this process.
  */
 export function datedVersionsOf(
   beat: Heartbeat,
   incarnation: string,
 ): DatedStoreVersions | undefined {
   if (beat.echo?.incarnation !== incarnation) return undefined;
-  // Ages were told after our own beat had arrived there, so they held at that beat or later.
+  // The sender took the ages after it had received the echoed heartbeat. Counted from the time at
+  // which that heartbeat was sent, they never give a time that is too late.
   const { sentAtMs } = beat.echo;
   const timeAtAge = (ageMs: number | null) => (ageMs === null ? undefined : sentAtMs - ageMs);
   return {
--- a/packages/relay/src/peers/leaving-exchange.ts
+++ b/packages/relay/src/peers/leaving-exchange.ts
@@ -7,7 +7,7 @@
 import type { ServerLeavingMessage } from './peer-messages.js';
 import { ZoneBroadcast } from './zone-broadcast.js';
 
-/** What the exchange needs. */
+/** Dependencies of `LeavingExchange`. */
 export interface LeavingExchangeParts extends ExchangeParts {
   readonly notices: ServerNotices;
 }
@@ -18,8 +18,8 @@
 }
 
 /**
- * Tells all hosts of servers that have said that they leave, once for each life: planners choose them no more, and each
- * host is spared the request by which it would find out. Where word is lost, a host finds out so.
+ * Broadcasts which servers have announced that they leave, once per incarnation: planners no longer select them, and
+ * other hosts need not find out from the answer to a request. A host that misses the message finds out in that way.
  */
 export class LeavingExchange {
   readonly #broadcast: ZoneBroadcast<LeavingAnnouncement>;
@@ -33,7 +33,7 @@
     });
   }
 
-  /** Takes in a message of a host; what is news here is told to others. */
+  /** Applies a message about a leaving server; if that is new here, forwards or broadcasts it. */
   onMessage({ server: wire, agoMs, host, passOn }: ServerLeavingMessage): void {
     const { clock, notices, peers } = this.parts;
     const server = fromWireServer(wire);
--- a/packages/relay/src/peers/limit-exchange.ts
+++ b/packages/relay/src/peers/limit-exchange.ts
@@ -9,21 +9,24 @@
 import type { WireLimit } from './plan-messages.js';
 import { ZoneBroadcast } from './zone-broadcast.js';
 
-/** What the exchange needs. */
+/** Dependencies of `LimitExchange`. */
 export interface LimitExchangeParts extends ExchangeParts {
   readonly notices: ServerNotices;
   readonly limits: ServerLimits;
 }
 
-/** Limits in a heartbeat, of 90 bytes each; none while no server names one. */
+/**
+ * Maximum number of recently changed limits in a heartbeat, and of limits sent in rotation. Each
+ * takes 90 bytes; there are none while no server reports one.
+ */
 const MAX_PER_HEARTBEAT = 4;
-/** A change is known to all hosts after this, but for lost messages. */
+/** A change reaches all hosts within this time, unless messages are lost. */
 const RECENT_CHANGE_MS: Milliseconds = 2000;
 
 /**
- * Tells all hosts of the limits that servers name, once for each change: a limit binds all together, and planners choose
- * for hosts that have heard of it. Heartbeats to and from the first hosts mend what is lost, and tell hosts that have
- * just started.
+ * Broadcasts the rate limits that servers report, once per change: a limit applies to all hosts together, and planners
+ * select servers for the hosts that have received it. Heartbeats to and from the coordinators make up for lost
+ * messages, and inform hosts that have just started.
  */
 export class LimitExchange {
   readonly #broadcast: ZoneBroadcast<readonly ServerLimit[]>;
@@ -42,7 +45,10 @@
     });
   }
 
-  /** Limits for one heartbeat: what has changed lately, and some of all by turns; few where this host is not one of the first. */
+  /**
+   * Limits for one heartbeat: those that changed recently, and some of all limits in rotation, of
+   * which a host that is not a coordinator sends only one.
+   */
   forHeartbeat(): WireLimit[] {
     const all = this.#all();
     if (all.length === 0) return [];
@@ -53,25 +59,25 @@
     return this.#toWire([...new Set([...this.#recentlyChanged(all), ...rotated])]);
   }
 
-  /** Limits of servers of a service that have changed lately, for a question to a planner that may not know of it. */
+  /** Recently changed limits of a service's servers, for a request to a planner that may not know them. */
   forPlanRequest(service: string): WireLimit[] {
     const ofService = this.#all().filter(({ server }) => server.service === service);
     return this.#toWire(this.#recentlyChanged(ofService));
   }
 
-  /** Takes in what a heartbeat tells; one of the first hosts tells all others what is news to it. */
+  /** Applies the limits in a heartbeat; a coordinator broadcasts those that are new to it. */
   onHeartbeat({ limits, host }: Heartbeat): void {
     this.#broadcastAsCoordinator(this.recordFromPeer(limits, host));
   }
 
-  /** Takes in a message of a host. */
+  /** Applies a message with limits. Forwards new ones if it asks for that; otherwise a coordinator broadcasts them. */
   onMessage({ limits, host, passOn }: LimitsMessage): void {
     const news = this.recordFromPeer(limits, host);
     if (passOn && news.length > 0) this.#forward(news);
     else this.#broadcastAsCoordinator(news);
   }
 
-  /** Takes in what a host knows; what was news here. */
+  /** Applies the limits that `host` knows. Returns those that were new here. */
   recordFromPeer(wire: readonly WireLimit[], host: string): readonly PeerLimit[] {
     const nowMs = this.parts.clock.monotonicMs();
     return wire
--- a/packages/relay/src/peers/message-dispatcher.ts
+++ b/packages/relay/src/peers/message-dispatcher.ts
@@ -14,7 +14,7 @@
 import type { StoreSyncState } from './store-sync-state.js';
 import { fromWireAttemptUse } from './planning-wire-format.js';
 
-/** Whoever takes in messages of other hosts. */
+/** Handlers of the messages of other hosts. */
 export interface MessageDispatcherParts extends Omit<ExchangeParts, 'senderFields' | 'send'> {
   readonly fleet: FleetView;
   readonly planner: Planner;
@@ -30,7 +30,7 @@
   readonly onLeft: (host: string) => void;
 }
 
-/** Gives each message of another host to whoever takes its kind in. */
+/** Passes each message of another host to the handler of its kind. */
 export class MessageDispatcher {
   constructor(readonly parts: MessageDispatcherParts) {}
 
--- a/packages/relay/src/peers/quarantine-exchange.ts
+++ b/packages/relay/src/peers/quarantine-exchange.ts
@@ -7,17 +7,17 @@
 import { fromWireQuarantine, toWireQuarantine } from './quarantine-wire-format.js';
 import { ZoneBroadcast } from './zone-broadcast.js';
 
-/** What the exchange needs. */
+/** Dependencies of `QuarantineExchange`. */
 export interface QuarantineExchangeParts extends ExchangeParts {
   readonly quarantine: SharedQuarantine;
 }
 
-/** Entries in a heartbeat, of 140 bytes each; none while no server ends under a request. */
+/** Maximum number of entries in a heartbeat, of 140 bytes each; none while no request terminates a server. */
 const MAX_PER_HEARTBEAT = 8;
 
 /**
- * Tells all hosts of requests under which servers ended. Heartbeats to and from the first hosts mend what is lost,
- * and tell hosts that have just started.
+ * Broadcasts which requests terminated servers. Heartbeats to and from the coordinators make up for lost messages, and
+ * inform hosts that have just started.
  */
 export class QuarantineExchange {
   readonly #broadcast: ZoneBroadcast<readonly QuarantineEntry[]>;
@@ -45,13 +45,13 @@
     return entries.map((entry) => toWireQuarantine(entry, nowMs));
   }
 
-  /** Takes in what a heartbeat tells; one of the first hosts tells all others what is news to it. */
+  /** Applies the entries in a heartbeat; a coordinator broadcasts those that are new to it. */
   onHeartbeat({ quarantine, host }: Heartbeat): void {
     const news = this.#mergeFromPeer(quarantine, host);
     if (this.parts.peers.isCoordinator()) this.#publish(news);
   }
 
-  /** Takes in a message of a host. */
+  /** Applies a message with entries. Forwards new ones if it asks for that; otherwise a coordinator broadcasts them. */
   onMessage({ entries, host, passOn }: QuarantineMessage): void {
     const news = this.#mergeFromPeer(entries, host);
     if (news.length === 0) return;
--- a/packages/relay/src/peers/store-state-exchange.ts
+++ b/packages/relay/src/peers/store-state-exchange.ts
@@ -15,11 +15,11 @@
 import { FragmentAssembler, splitIntoFragments } from './fragments.js';
 import type { StoreVersions, StoreSyncState } from './store-sync-state.js';
 
-/** What the exchange of news needs. */
+/** Dependencies of `StoreStateExchange`. */
 export interface StoreStateExchangeParts extends ExchangeParts {
   readonly log: Log;
   readonly syncState: StoreSyncState;
-  /** Called when something that `host` has told was taken in. */
+  /** Called when a configuration or server list from `host` was applied. */
   readonly onApplied: (host: string) => void;
 }
 
@@ -30,18 +30,19 @@
   readonly fragments: readonly Uint8Array[];
 }
 
-/** A host that lacks something asks no more often than this; an answer takes a few milliseconds. */
+/** Minimum interval between requests for newer state; an answer takes a few milliseconds. */
 const MIN_REQUEST_INTERVAL_MS: Milliseconds = 250;
 
 /**
- * Tells hosts what the store has told. A host that reads the store tells one host of each
- * availability zone, which passes it on there, so that no host sends to all and each zone gets it
- * once; of the list of servers only what has changed. Whoever misses it hears of it with the next
- * heartbeat, and asks the peer that said so for the whole.
+ * Distributes the configuration and the server list that were read from the store. A store reader
+ * sends them to one host of each availability zone, which forwards them there, so that no host
+ * sends to all and each zone receives them once; of the server list only the delta is sent. A
+ * host that misses a message notices by the next heartbeat, and requests the whole configuration or
+ * list from the peer that sent the heartbeat.
  */
 export class StoreStateExchange {
   readonly #assembler = new FragmentAssembler();
-  /** Packed once for all that want it. */
+  /** Encoded once for all peers that request it. */
   readonly #encoded = new Map<Subject, EncodedState>();
   #requestedAtMs = Number.NEGATIVE_INFINITY;
   #publishedVersion = 0;
@@ -49,7 +50,7 @@
 
   constructor(readonly parts: StoreStateExchangeParts) {}
 
-  /** Tells all what this host knows and has neither told nor heard before. */
+  /** Broadcasts what this host knows and has neither sent nor received before. */
   publish(): void {
     const { ownVersions, listed, previousList } = this.parts.syncState;
     const isListNew = ownVersions.listDigest !== this.#publishedDigest;
@@ -67,7 +68,7 @@
     this.parts.send(ownZonePeers, this.#deltaMessage(change, false));
   }
 
-  /** A peer has said what it knows; it is asked for what this host lacks. */
+  /** Compares the versions that a peer reports with this host's, and requests what is newer from it. */
   onVersions(peer: Peer, word: StoreVersions): void {
     const { clock, syncState, senderFields } = this.parts;
     const { ownVersions } = syncState;
@@ -81,7 +82,7 @@
     this.parts.send([peer], { kind: 'want', ...senderFields(), ...ownVersions });
   }
 
-  /** Tells a peer what it lacks. */
+  /** Sends a peer the state that it lacks. */
   onStateRequest(peer: Peer, want: StateRequestMessage): void {
     const { ownVersions } = this.parts.syncState;
     if (ownVersions.configurationVersion > want.configurationVersion) {
@@ -92,7 +93,7 @@
     }
   }
 
-  /** Takes in a piece of what a peer tells. */
+  /** Adds a fragment, and applies the configuration or server list once it is complete. */
   onFragment(told: StateFragmentMessage): void {
     const { host, incarnation, subject, version, index, count, bytes } = told;
     if (this.#isKnownVersion(subject, version)) return;
@@ -103,7 +104,7 @@
     if (told.passOn) this.#sendState(subject, this.parts.peers.ownZonePeers(), false);
   }
 
-  /** Takes in a change of the list of servers, where this host knows the list before it. */
+  /** Applies a server list delta if this host has the list that it is based on. */
   onListDelta(message: ListDeltaMessage): void {
     const { syncState, peers } = this.parts;
     if (message.digest === syncState.ownVersions.listDigest) return;
@@ -121,7 +122,7 @@
     return version <= (subject === 'configuration' ? configurationVersion : listVersion);
   }
 
-  /** False where it can't be read or is no newer than what is known. */
+  /** Returns false if the bytes can't be decoded, or hold nothing newer than what is known. */
   #apply({ subject, version }: StateFragmentMessage, packed: Buffer): boolean {
     const isApplied =
       subject === 'configuration'
@@ -142,7 +143,7 @@
     return list !== undefined && this.parts.syncState.applyList(list);
   }
 
-  /** What this host has told or heard is told no more. */
+  /** Records that the current state was sent or received, so that it is not broadcast again. */
   #markPublished(): void {
     const { configurationVersion, listDigest } = this.parts.syncState.ownVersions;
     this.#publishedVersion = configurationVersion;
--- a/packages/relay/src/peers/store-sync-state.ts
+++ b/packages/relay/src/peers/store-sync-state.ts
@@ -4,24 +4,24 @@
 import type { DigestedList } from '../store/list-delta.js';
 import type { ServerListSnapshot, ServerList } from '../store/server-list.js';
 
-/** What a peer said it knows of the store. */
+/** Versions of the configuration and the server list that a host has. */
 export interface StoreVersions {
   readonly configurationVersion: number;
   readonly listDigest: string;
-  /** Rises with every change in the store. */
+  /** Increases with every change in the store. */
   readonly listVersion: number;
 }
 
-/** The same, with instants of this process's clock at which it held, or undefined for never. */
+/** Store versions, with the times on this process's clock at which each was the newest; undefined for never. */
 export interface DatedStoreVersions extends StoreVersions {
   readonly configurationAtMs: Milliseconds | undefined;
   readonly listAtMs: Milliseconds | undefined;
 }
 
-/** After a failed call, others read the store for this long before this host is tried again. */
+/** After a failed call, other hosts read the store for this long before this one tries again. */
 const STORE_LOST_FOR_MS: Milliseconds = 3000;
 
-/** What the comparison needs. */
+/** Dependencies of `StoreSyncState`. */
 export interface StoreSyncStateParts {
   readonly clock: Clock;
   readonly inForce: ActiveConfiguration;
@@ -30,15 +30,15 @@
 }
 
 /**
- * What this host knows of the store, compared with what peers know. A peer that knows the same
- * proves it to be recent; one that knows something else is a reason to ask the store.
+ * Compares the store versions that this host has with those of its peers. A peer that has the same
+ * versions confirms that they are recent; one that has newer ones is a reason to read the store.
  */
 export class StoreSyncState {
-  /** The newest version that a peer has told of, and when it did, on this process's clock. */
+  /** The newest configuration version that a peer has reported, and when, on this process's clock. */
   #newestPeerConfiguration = { version: 0, atMs: 0 };
-  /** The newest version of another list than this host's that a peer has told of. */
+  /** The newest version that a peer has reported for a server list with another digest than this host's. */
   #newestOtherListVersion = 0;
-  /** Since when a peer was known to know more, on this process's clock; undefined while none does. */
+  /** Since when a peer is known to have newer state, on this process's clock; undefined if none has. */
   #behindSinceMs: Milliseconds | undefined;
   #storeFailedAtMs: Milliseconds | undefined;
   #onRefreshNeeded: () => void = () => undefined;
@@ -47,23 +47,23 @@
 
   constructor(readonly parts: StoreSyncStateParts) {}
 
-  /** Whether this host's last call to the store, not long ago, had no result. */
+  /** Whether this host's last call to the store failed, not long ago. */
   get isStoreLost(): boolean {
     if (this.#storeFailedAtMs === undefined) return false;
     return this.parts.clock.monotonicMs() - this.#storeFailedAtMs < STORE_LOST_FOR_MS;
   }
 
-  /** A call to the store had no result. */
+  /** Records that a call to the store failed. */
   onStoreFailure(): void {
     this.#storeFailedAtMs = this.parts.clock.monotonicMs();
   }
 
-  /** The list of servers that this host tells its peers when it has changed. */
+  /** The server list, which this host sends to its peers when it has changed. */
   get listed(): ServerListSnapshot {
     return this.parts.list.listed;
   }
 
-  /** What this host tells its peers. */
+  /** The versions that this host reports to its peers. */
   get ownVersions(): StoreVersions {
     const { inForce, list } = this.parts;
     return {
@@ -73,59 +73,59 @@
     };
   }
 
-  /** Time since the configuration was proved the newest; infinite before that. */
+  /** Time since the configuration was confirmed to be the newest; infinite before that. */
   get configurationAgeMs(): Milliseconds {
     return this.parts.freshness.ageMs();
   }
 
-  /** Time since the list of servers was proved the newest; infinite before that. */
+  /** Time since the server list was confirmed to be the newest; infinite before that. */
   get listAgeMs(): Milliseconds {
     return this.parts.list.freshness.ageMs();
   }
 
-  /** Whether a peer knows a newer configuration. */
+  /** Whether a peer has a newer configuration. */
   get isConfigurationBehind(): boolean {
     return this.#newestPeerConfiguration.version > this.parts.inForce.version;
   }
 
-  /** Whether a peer knows a newer list of servers. */
+  /** Whether a peer has a newer server list. */
   get isListBehind(): boolean {
     return this.#newestOtherListVersion > this.parts.list.listed.version;
   }
 
-  /** `callback` is called when a peer is found to know more, or the store is back. */
+  /** `callback` is called when a peer has newer state, or the store can be reached again. */
   onRefreshNeeded(callback: () => void): void {
     this.#onRefreshNeeded = callback;
   }
 
-  /** `callback` takes in a newer configuration that a peer has told. */
+  /** `callback` applies a configuration that was received from a peer. */
   onConfigurationReceived(callback: (bytes: Buffer) => void): void {
     this.#onConfigurationReceived = callback;
   }
 
-  /** The configuration in force, as the store keeps it; undefined before the first. */
+  /** The active configuration as the store keeps it; undefined before the first. */
   get configurationBytes(): Buffer | undefined {
     return this.#configurationBytes;
   }
 
-  /** A configuration was put in force. */
+  /** Records the configuration that has become active. */
   onConfigurationActivated(bytes: Buffer): void {
     this.#configurationBytes = bytes;
   }
 
-  /** Time since which a peer has known more than this host; 0 where none does. */
+  /** How long a peer has been known to have newer state than this host; 0 if none has. */
   get behindForMs(): Milliseconds {
     if (!this.isConfigurationBehind && !this.isListBehind) this.#behindSinceMs = undefined;
     if (this.#behindSinceMs === undefined) return 0;
     return this.parts.clock.monotonicMs() - this.#behindSinceMs;
   }
 
-  /** The list of servers before its last change. */
+  /** The server list before its last change. */
   get previousList(): DigestedList {
     return this.parts.list.previousList;
   }
 
-  /** Takes in a configuration that a peer has read; false where it is none or no newer. */
+  /** Applies a configuration that a peer has read. Returns false if it is invalid or not newer. */
   applyConfiguration(bytes: Buffer, configurationVersion: number): boolean {
     const before = this.parts.inForce.version;
     this.#onConfigurationReceived(bytes);
@@ -134,14 +134,14 @@
     return this.parts.inForce.version > before;
   }
 
-  /** Takes in a list of servers that a peer has read; false where it is no newer. */
+  /** Applies a server list that a peer has read. Returns false if it is not newer. */
   applyList(list: ServerListSnapshot): boolean {
     const before = this.ownVersions.listVersion;
     this.parts.list.adopt(list);
     return this.ownVersions.listVersion > before;
   }
 
-  /** Takes in that a listed server is gone, by the word of `host`; false where that is nothing new. */
+  /** Records that a listed server is gone, as `host` reports. Returns false if that changes nothing. */
   onServerGone(server: BackendServer, host: string): boolean {
     return this.parts.list.onGone(server, host);
   }
@@ -151,7 +151,7 @@
     this.#newestPeerConfiguration = { version, atMs: this.parts.clock.monotonicMs() };
   }
 
-  /** An older list than this host's own says nothing. */
+  /** Records the version of a list that differs from this host's; an older one has no effect. */
   #recordListVersion({ listDigest, listVersion }: StoreVersions): void {
     if (listDigest === this.parts.list.digest) return;
     this.#newestOtherListVersion = Math.max(this.#newestOtherListVersion, listVersion);
@@ -163,14 +163,14 @@
     this.#onRefreshNeeded();
   }
 
-  /** Takes in what a peer knows, without the instants at which it held. */
+  /** Compares the versions that a peer reports, if it is not known when they were the newest. */
   onPeerVersions(word: StoreVersions): void {
     this.#recordConfigurationVersion(word.configurationVersion);
     this.#recordListVersion(word);
     this.#notifyIfBehind();
   }
 
-  /** Takes in what a peer knew at instants of this process's clock. */
+  /** Compares the versions that a peer reports; equal ones confirm this host's as of the peer's times. */
   onDatedPeerVersions(word: DatedStoreVersions): void {
     const { inForce, freshness, list } = this.parts;
     this.#recordConfigurationVersion(word.configurationVersion);
@@ -184,7 +184,7 @@
     this.#notifyIfBehind();
   }
 
-  /** The store, asked at `askedAtMs`, has told the newest configuration of then. */
+  /** Records that the store, queried at `askedAtMs`, has returned the configuration that was the newest then. */
   onConfigurationRead(askedAtMs: Milliseconds): void {
     const wasLost = this.#storeFailedAtMs !== undefined;
     this.#storeFailedAtMs = undefined;
@@ -193,7 +193,7 @@
     if (wasLost) this.#onRefreshNeeded();
   }
 
-  /** The store has told its list. */
+  /** Records that the store has returned the server list. */
   onListRead(): void {
     this.#storeFailedAtMs = undefined;
   }
--- a/packages/relay/src/peers/zone-broadcast.ts
+++ b/packages/relay/src/peers/zone-broadcast.ts
@@ -1,6 +1,6 @@
 import type { Peer, PeerList } from './peer-list.js';
 
-/** Sends news to each of `peers`; `passOn`: whether they pass it on within their availability zone. */
+/** Sends a message to each of `peers`. `passOn`: whether they have to forward it within their availability zone. */
 export type BroadcastSender<Message> = (
   peers: readonly Peer[],
   news: Message,
@@ -8,8 +8,9 @@
 ) => void;
 
 /**
- * Spreads news to all hosts, never from all to all. A host tells the first two of all, which tell one host of each
- * availability zone, which passes it on there. Any message may be lost; what must arrive is mended otherwise.
+ * Broadcasts messages to all hosts without any host sending to all others. A host sends to the two coordinators; these
+ * send to one host of each availability zone, which forwards the message within its zone. Any message may be lost; what
+ * must arrive is repaired by other means.
  */
 export class ZoneBroadcast<Message> {
   constructor(
@@ -17,7 +18,10 @@
     readonly send: BroadcastSender<Message>,
   ) {}
 
-  /** This host has news. The first of a zone is not told its own news to pass on, so it does so at once. */
+  /**
+   * Broadcasts a message of this host. The highest-ranked host of a zone is never asked to forward
+   * its own message, so it sends the message within its zone at once.
+   */
   publish(news: Message): void {
     const { peers } = this;
     const isCoordinator = peers.isCoordinator();
@@ -26,7 +30,7 @@
     if (isCoordinator || peers.isOwnZoneForwarder()) this.send(peers.ownZonePeers(), news, false);
   }
 
-  /** This host was told what is news to it, and to pass it on. */
+  /** Forwards a message within this host's availability zone, as its sender has asked. */
   passOn(news: Message): void {
     this.send(this.peers.ownZonePeers(), news, false);
   }
