--- a/packages/relay/src/peers/byte-encoding.test.ts
+++ b/packages/relay/src/peers/byte-encoding.test.ts
@@ -2,8 +2,8 @@
 import { encodeList, decodeList } from './server-wire-format.js';
 import { compressBytes, decompressBytes } from './byte-encoding.js';
 
-describe('packed bytes', () => {
-  it('come out as they went in, however long, unless they are none of ours', () => {
+describe('byte encoding', () => {
+  it('restores compressed bytes of any length, and rejects bytes that are not compressed', () => {
     const bytes = Buffer.from('{"version":1}'.repeat(5000));
     expect(decompressBytes(compressBytes(bytes))).toEqual(bytes);
     const random = Buffer.from(
@@ -19,7 +19,7 @@
     expect(decompressBytes(Buffer.from('not compressed'))).toBeUndefined();
   });
 
-  it('that are no list are passed over, and none of them ends the process', () => {
+  it('decodes no server list from invalid bytes, and does not throw', () => {
     const list = { servers: [], version: 3, graceMs: 0 };
     expect(decodeList(encodeList(list))).toEqual(list);
     for (const bytes of [Buffer.from([0xc1]), Buffer.from([0x93, 1]), Buffer.from('text')]) {
--- a/packages/relay/src/peers/datagram-sender.test.ts
+++ b/packages/relay/src/peers/datagram-sender.test.ts
@@ -5,7 +5,7 @@
 
 const LOOPBACK = '127.0.0.1';
 
-it('sends the last word of a host that leaves and closes at once', async () => {
+it('transmits messages that were sent before it was closed, and none that are sent after', async () => {
   const heard: PeerMessage[] = [];
   let onHeard: () => void = () => undefined;
   const receiver = await DatagramSender.bind(LOOPBACK, 0, new Measures(), (message) => {
--- a/packages/relay/src/peers/leaving-exchange.test.ts
+++ b/packages/relay/src/peers/leaving-exchange.test.ts
@@ -22,15 +22,18 @@
     [4, 1],
     [12, 3],
     [60, 5],
-  ])('tells all of %i hosts in %i zones at once, whoever heard it', async (count, zones) => {
-    const hosts = network(count, zones);
-    await hosts.run(2000);
-    hosts.hosts.get(count)?.notices.recordNotice(ENGINE, LEAVING_NOTICE);
-    await hosts.run(100);
-    expect(countInformedHosts(hosts)).toBe(count);
-  });
+  ])(
+    'informs all of %i hosts in %i zones at once, whichever host received the notice',
+    async (count, zones) => {
+      const hosts = network(count, zones);
+      await hosts.run(2000);
+      hosts.hosts.get(count)?.notices.recordNotice(ENGINE, LEAVING_NOTICE);
+      await hosts.run(100);
+      expect(countInformedHosts(hosts)).toBe(count);
+    },
+  );
 
-  it('sends no message from all to all, also where all hear it at once, and each but once', async () => {
+  it('does not send from all hosts to all when all receive the notice, and sends no repetition', async () => {
     const hosts = network(60, 5);
     await hosts.run(2000);
     let messages = 0;
@@ -41,14 +44,14 @@
     for (const { notices } of hosts.hosts.values()) notices.recordNotice(ENGINE, LEAVING_NOTICE);
     await hosts.run(100);
     const once = messages;
-    // Each tells the first two, which tell all of their zone and one host of each other.
+    // Each host sends to the two coordinators, which send to all of their zone and to one host of each other zone.
     expect(once).toBeLessThan(3 * 60);
     for (const { notices } of hosts.hosts.values()) notices.recordNotice(ENGINE, LEAVING_NOTICE);
     await hosts.run(100);
     expect(messages).toBe(once);
   });
 
-  it('has planners elsewhere plan nothing there, by the first word of any host', async () => {
+  it('makes all hosts stop selecting a server as soon as one of them has received its notice', async () => {
     const hosts = network(12, 3);
     await hosts.run(2000);
     hosts.hosts.get(12)?.notices.recordNotice(ENGINE, LEAVING_NOTICE);
@@ -56,7 +59,7 @@
     for (const { list } of hosts.hosts.values()) expect(list.available(ENGINE.service)).toEqual([]);
   });
 
-  it('takes questions to planners of a release that knows of no exclusion', () => {
+  it('accepts plan requests of an earlier release, which knows no excluded servers', () => {
     const ask = {
       attempt: 'a',
       request: 'r',
--- a/packages/relay/src/peers/member-directory.test.ts
+++ b/packages/relay/src/peers/member-directory.test.ts
@@ -15,7 +15,7 @@
 };
 const UNAVAILABLE: StoreFailure = { kind: 'no_answer', detail: 'away' };
 
-/** A store of one table, and the calls that it got. */
+/** A directory in a store of one table, and the calls that the store has received. */
 function directory(isUnavailable = () => false) {
   const rows = new Map<string, Buffer>();
   const calls: string[] = [];
@@ -40,35 +40,35 @@
     },
   };
   const members = new MemberDirectory(new CountedStore(store, new Measures()), silentLog);
-  return { made: members, calls, rows };
+  return { members, calls, rows };
 }
 
 describe('MemberDirectory', () => {
-  it('costs a host that starts again one call, and one that starts first two', async () => {
-    const { made, calls } = directory();
-    expect(await made.join(SELF, true)).toEqual([SELF]);
+  it('makes one call for a host that restarts, and two on the first start of the fleet', async () => {
+    const { members, calls } = directory();
+    expect(await members.join(SELF, true)).toEqual([SELF]);
     expect(calls).toEqual(['put', 'read']);
     calls.length = 0;
-    expect(await made.join(SELF, false)).toEqual([SELF]);
+    expect(await members.join(SELF, false)).toEqual([SELF]);
     expect(calls).toEqual(['read']);
   });
 
-  it('enters a host that has come, or has another address, before it reads who is there', async () => {
-    const { made, calls } = directory();
-    await made.join(SELF, true);
+  it('writes the entry of a host that is new or has another address before it reads the members again', async () => {
+    const { members, calls } = directory();
+    await members.join(SELF, true);
     calls.length = 0;
     const moved = { ...SELF, address: '10.0.0.2' };
-    expect(await made.join(moved, false)).toEqual([moved]);
+    expect(await members.join(moved, false)).toEqual([moved]);
     expect(calls).toEqual(['read', 'put', 'read']);
   });
 
-  it('of hosts that enter at once lets one of each pair know the other', async () => {
-    const { made } = directory();
+  it('lets at least one of each two hosts that join at once see the other', async () => {
+    const { members } = directory();
     const others = Array.from({ length: 40 }, (_unused, index) => ({
       ...SELF,
       host: `host-${String(index)}`,
     }));
-    const seen = await Promise.all(others.map((host) => made.join(host, true)));
+    const seen = await Promise.all(others.map((host) => members.join(host, true)));
     const knows = (one: number, other: number) =>
       seen[one]?.some(({ host }) => host === `host-${String(other)}`) === true;
     for (let one = 0; one < others.length; one += 1) {
@@ -78,9 +78,9 @@
     }
   });
 
-  it('knows no host by a row of another writer, which sending to would end the process', async () => {
-    const { made, rows } = directory();
-    await made.join({ ...SELF, host: 'host-2' }, true);
+  it('skips invalid rows of another writer, as sending to their addresses would end the process', async () => {
+    const { members, rows } = directory();
+    await members.join({ ...SELF, host: 'host-2' }, true);
     const good = { address: '10.0.0.3', port: 7000, availabilityZone: 'zone-a', capacity: 1 };
     const bad = [{ port: 0 }, { port: 99_999 }, { port: '7000' }, { address: 'nowhere' }];
     const worse = [{ capacity: -1 }, { availabilityZone: 7 }, { address: undefined }];
@@ -88,17 +88,17 @@
       rows.set(`other-${String(index)}`, Buffer.from(JSON.stringify({ ...good, ...change })));
     }
     rows.set('other-bytes', Buffer.from([0xff, 0x00]));
-    const known = await made.join(SELF, false);
+    const known = await members.join(SELF, false);
     expect(known?.map(({ host }) => host)).toEqual(['host-2', 'host-1']);
   });
 
-  it('says that it has not joined while the store is away, and takes off who is gone', async () => {
+  it('reports that it has not joined while the store is unavailable, and removes the entry of a host', async () => {
     let isUnavailable = true;
-    const { made, rows } = directory(() => isUnavailable);
-    expect(await made.join(SELF, false)).toBeUndefined();
+    const { members, rows } = directory(() => isUnavailable);
+    expect(await members.join(SELF, false)).toBeUndefined();
     isUnavailable = false;
-    await made.join(SELF, false);
-    await made.remove(SELF.host);
+    await members.join(SELF, false);
+    await members.remove(SELF.host);
     expect(rows.size).toBe(0);
   });
 });
--- a/packages/relay/src/peers/mocks/mesh-network.ts
+++ b/packages/relay/src/peers/mocks/mesh-network.ts
@@ -17,7 +17,7 @@
 import { PeerMesh } from '../peer-mesh.js';
 import { StoreSyncState } from '../store-sync-state.js';
 
-/** A clock of one process: the common one, counted from the start of the process. */
+/** Clock of one process: the common clock, counted from the start of the process. */
 function processClock(shared: ManualClock, startedAtMs: Milliseconds): Clock {
   return {
     monotonicMs: () => shared.monotonicMs() - startedAtMs,
@@ -33,10 +33,10 @@
 }
 
 const random = () => 0.5;
-/** The only engine. */
+/** The engine that the store lists unless a test sets other servers. */
 export const ENGINE = engineServer('i-1');
 
-/** What is in force on a host from its start. */
+/** The configuration that is active on a host from its start. */
 export const CONFIGURATION: RoutingConfiguration = {
   version: 1,
   routes: [],
@@ -50,14 +50,14 @@
   return { host, address: 'a', port, availabilityZone: 'zone-a', capacity: 1 };
 }
 
-/** A message on its way. */
+/** A message in transit. */
 export interface SentMessage {
   readonly from: string;
   readonly to: number;
   readonly message: PeerMessage;
 }
 
-/** One host of a network. */
+/** One host of a `MeshNetwork`. */
 export interface Host {
   readonly mesh: PeerMesh;
   readonly fleet: FleetView;
@@ -71,26 +71,29 @@
   readonly placement: PlacementClient;
   readonly clock: Clock;
   readonly startedAtMs: Milliseconds;
-  /** Answers of planners. */
+  /** Answers that this host has received from planners. */
   readonly answers: ReceivedAnswer[];
 }
 
-/** Hosts whose messages are delivered when the test says so. */
+/** Hosts whose messages are delivered when the test requests it. */
 export class MeshNetwork {
   readonly clock = new ManualClock();
   readonly sent: SentMessage[] = [];
   readonly hosts = new Map<number, Host>();
-  /** What each host's store lists from its start. */
+  /** Servers that the store lists for each host from its start. */
   servers: readonly BackendServer[] = [ENGINE];
-  /** Hosts are spread over this many availability zones by turns. */
+  /** Number of availability zones, over which hosts are distributed round-robin. */
   zones = 1;
-  /** Whether a message never arrives. */
+  /** Whether a message is lost. */
   lost: (message: PeerMessage, to: string) => boolean = () => false;
-  /** Hosts that others have found to be gone for good. */
+  /** Hosts that others have reported as permanently gone. */
   readonly gone: string[] = [];
   #incarnations = 0;
 
-  /** Starts a host that the store has told who is `known`. */
+  /**
+   * Starts a host that has read from the store that the hosts at the ports `known` are members. It
+   * has not read the server list if `hasServerList` is false, nor the members if `isListed` is false.
+   */
   start(port: number, known: readonly number[], hasServerList = true, isListed = true): Host {
     const startedAtMs = this.clock.monotonicMs();
     const clock = processClock(this.clock, startedAtMs);
@@ -171,7 +174,7 @@
       this.hosts.get(sent.to)?.mesh.receive(message, 'a');
   }
 
-  /** Lets time pass with every message delivered at once. */
+  /** Advances the clock in steps, and delivers every message at once. */
   async run(forMs: Milliseconds, stepMs: Milliseconds = 50): Promise<void> {
     for (let passedMs = 0; passedMs < forMs; passedMs += stepMs) {
       await this.clock.advance(stepMs);
--- a/packages/relay/src/peers/peer-mesh-at-size.test.ts
+++ b/packages/relay/src/peers/peer-mesh-at-size.test.ts
@@ -6,8 +6,9 @@
 const PORTS = [1, 2, 3, 4, 5];
 
 describe('PeerMesh of many hosts', () => {
-  // 12,744 messages in the first second before, as each greeted all others; 1,952 after.
-  it('does not let all greet all when they start together, and still has all find the same first hosts', async () => {
+  // If each host sends a heartbeat to all others at its start, 12,744 messages are sent in the first second, instead of
+  // 1,952.
+  it('does not send heartbeats from all to all at a common start, and all agree on the planner', async () => {
     const network = new MeshNetwork();
     const ports = Array.from({ length: 60 }, (_unused, index) => index + 101);
     let sent = 0;
@@ -15,7 +16,7 @@
       sent += 1;
       return false;
     };
-    // Each knows those that have entered before it, as the store lists them.
+    // Each host knows those whose entries were written before its own, as the store lists them.
     ports.forEach((port, index) => network.start(port, ports.slice(0, index + 1)));
     await network.run(1000);
     expect(sent).toBeLessThan(12_744 / 6);
@@ -28,8 +29,8 @@
     expect(Math.min(...counts)).toBe(60);
   });
 
-  // Out of one host: before, as many copies of the whole list as there are hosts, 11 KB each.
-  it('sends a change of the list out of no host more than its zone needs, and to each host once', async () => {
+  // If the store reader sent the whole list to all, one host would send as many copies of 11 KB as there are hosts.
+  it('sends a server list delta to each host once, with no host sending more than its zone needs', async () => {
     const network = new MeshNetwork();
     network.zones = 5;
     const ports = Array.from({ length: 100 }, (_unused, index) => index + 101);
@@ -59,7 +60,7 @@
     expect(totalBytes).toBeLessThan(100 * 1024);
   });
 
-  it('brings a long configuration to a host that lost pieces of it, without the store', async () => {
+  it('delivers a long configuration to hosts that lost fragments of it, without the store', async () => {
     const network = new MeshNetwork();
     for (const port of PORTS) network.start(port, PORTS);
     await network.run(1000);
@@ -94,7 +95,7 @@
     }
   });
 
-  it('lets a host that has started serve as soon as it is told what holds, not a heartbeat later', async () => {
+  it('lets a started host serve as soon as it has received the configuration, not one heartbeat later', async () => {
     const network = new MeshNetwork();
     for (const port of PORTS.slice(0, 4)) {
       const { freshness, activeConfiguration, syncState } = network.start(port, PORTS);
@@ -115,7 +116,7 @@
     expect(syncState.configurationAgeMs).toBeLessThan(200);
   });
 
-  it('says that a host is gone for good once it has left and not come back, and that none is that came', async () => {
+  it('reports a host that has left and not come back as permanently gone, and no host that has come back', async () => {
     const network = new MeshNetwork();
     for (const port of PORTS) network.start(port, PORTS);
     await network.run(2000);
--- a/packages/relay/src/peers/peer-mesh-pauses.test.ts
+++ b/packages/relay/src/peers/peer-mesh-pauses.test.ts
@@ -4,8 +4,8 @@
 
 const PORTS = [1, 2, 3, 4];
 
-describe('PeerMesh after its process stood still', () => {
-  it('plans for nobody by what it believed, asks at once, and plans on once it has heard others for a while', async () => {
+describe('PeerMesh after its process was suspended', () => {
+  it('does not plan with outdated state, queries peers at once, and plans again after hearing from them for a while', async () => {
     const network = new MeshNetwork();
     for (const port of PORTS) network.start(port, PORTS);
     await network.run(3000);
@@ -25,7 +25,7 @@
     expect(plannersOf()[0]).toBe('host-1');
   });
 
-  it('plans where it is alone', async () => {
+  it('plans if it has no peers', async () => {
     const network = new MeshNetwork();
     const only = network.start(1, []);
     await network.run(3000);
@@ -33,7 +33,7 @@
     expect(only.mesh.plannersOf(ENGINE_SERVICE)).toEqual(['host-1']);
   });
 
-  it('takes itself to be alone when nobody answers for half a second', async () => {
+  it('counts itself as isolated and plans if no peer answers for half a second', async () => {
     const network = new MeshNetwork();
     for (const port of [1, 2]) network.start(port, [1, 2]);
     await network.run(3000);
--- a/packages/relay/src/peers/peer-mesh.test.ts
+++ b/packages/relay/src/peers/peer-mesh.test.ts
@@ -28,7 +28,7 @@
 }
 
 describe('PeerMesh', () => {
-  it('lets two hosts read the store for all, and others when those have lost it', async () => {
+  it('lets two hosts read the store for all, and others when those cannot reach it', async () => {
     const network = new MeshNetwork();
     for (const port of PORTS) network.start(port, PORTS);
     const readers = () => PORTS.filter((port) => network.hosts.get(port)?.mesh.isReader());
@@ -44,7 +44,7 @@
     expect(readers().filter((port) => port !== 2)).toEqual([1, 3]);
   });
 
-  it('tells what it runs, mends what was lost with a beat, and drops it with its host', async () => {
+  it('reports its attempts, repairs a lost message by a heartbeat, and drops those of a host that leaves', async () => {
     const network = new MeshNetwork();
     const first = network.start(1, [2]);
     const second = network.start(2, [1]);
@@ -62,7 +62,7 @@
     expect(second.fleet.size).toBe(0);
   });
 
-  it('counts hosts for shared budgets for a while after their last word', async () => {
+  it('counts hosts in shared budgets for a while after their last message', async () => {
     const network = new MeshNetwork();
     const first = network.start(1, [2]);
     network.start(2, [1]);
@@ -75,7 +75,7 @@
     expect(first.mesh.hostCount).toBe(1);
   });
 
-  it('asks only the few that read and plan, and finds others when those are gone', async () => {
+  it('queries only the few hosts that read and plan, and finds others when those are gone', async () => {
     const network = new MeshNetwork();
     for (const port of PORTS) network.start(port, PORTS);
     await network.run(3000);
@@ -103,7 +103,7 @@
     expect(others).not.toContain(planner);
   });
 
-  it('asks no planner that does not know the servers yet', async () => {
+  it('selects no planner that does not know the servers yet', async () => {
     const network = new MeshNetwork();
     network.lost = (message) => message.kind === 'told';
     for (const port of PORTS) network.start(port, PORTS, port === 4);
@@ -113,14 +113,14 @@
     }
   });
 
-  it('spends nothing of shared budgets before it knows how many share them', () => {
+  it('reports an infinite number of hosts that share budgets until it knows the members', () => {
     const { mesh } = new MeshNetwork().start(1, []);
     expect(mesh.hostCount).toBe(1);
     const unlisted = new MeshNetwork().start(1, [], true, false);
     expect(unlisted.mesh.hostCount).toBe(Number.POSITIVE_INFINITY);
   });
 
-  it('tells all a changed list of servers, so that they need not ask the store', async () => {
+  it('sends a changed server list to all hosts, so that they need not read the store', async () => {
     const network = new MeshNetwork();
     for (const port of PORTS) network.start(port, PORTS);
     await network.run(1000);
@@ -134,7 +134,7 @@
     }
   });
 
-  it('tells all that a listed server has started again', async () => {
+  it('informs all hosts that a listed server has restarted', async () => {
     const network = new MeshNetwork();
     for (const port of PORTS) network.start(port, PORTS);
     await network.run(1000);
@@ -152,7 +152,7 @@
     }
   });
 
-  it('tells planners that another server has the address of a listed one, until its next life', async () => {
+  it('informs planners that another server has the address of a listed one, until its next incarnation', async () => {
     const network = new MeshNetwork();
     for (const port of PORTS) network.start(port, PORTS);
     await network.run(1000);
@@ -172,7 +172,7 @@
     for (const port of PORTS) expect(known(port)).toHaveLength(1);
   });
 
-  it('takes in the other servers of a list beside one that can not be used', () => {
+  it('accepts the valid servers of a list with invalid ones', () => {
     const wire = (id: string, port: unknown) => [id, 's', 'a', port, 'z', 1, false, null];
     const rows = [wire('i-1', 1), wire('i-2', 0), wire('i-3', '80'), 'nothing', wire('i-4', 2)];
     const list = compressBytes(pack({ version: 3, graceMs: 0, servers: rows }));
@@ -186,7 +186,7 @@
     ]);
   });
 
-  it('tells all a new configuration as the store keeps it', async () => {
+  it('sends a new configuration to all hosts as the store keeps it', async () => {
     const network = new MeshNetwork();
     for (const port of PORTS) network.start(port, PORTS);
     await network.run(1000);
@@ -202,7 +202,7 @@
     expect(last?.syncState.isConfigurationBehind).toBe(true);
   });
 
-  it('is not sent to the store by a reader that knows an older list', async () => {
+  it('does not make hosts read the store when a store reader reports an older list', async () => {
     const network = new MeshNetwork();
     for (const port of PORTS) network.start(port, PORTS);
     await network.run(1000);
@@ -223,7 +223,7 @@
     expect(network.hosts.get(5)?.syncState.isListBehind).toBe(false);
   });
 
-  it('tells a host that has started while the store is away, and that knows nobody, all it needs', async () => {
+  it('sends a host that has started during a store outage, and knows no peers, all that it needs', async () => {
     const network = new MeshNetwork();
     for (const port of PORTS) network.start(port, PORTS);
     await network.run(1000);
@@ -248,7 +248,7 @@
     expect(started.mesh.aliveCount).toBeGreaterThan(0);
   });
 
-  it('does not let all hosts ask all while the store is away from every one', async () => {
+  it('does not make all hosts query all others while none of them can reach the store', async () => {
     const network = new MeshNetwork();
     const ports = Array.from({ length: 30 }, (_unused, index) => index + 1);
     for (const port of ports) network.start(port, ports);
@@ -264,7 +264,7 @@
     expect(network.hosts.get(30)?.mesh.aliveCount).toBeGreaterThan(0);
   });
 
-  it('plans for the host that asks, and tells it', async () => {
+  it('plans for a host that requests it, and sends it the answer', async () => {
     const network = new MeshNetwork();
     for (const port of [1, 2]) network.start(port, [1, 2]);
     await network.run(3000);
@@ -297,7 +297,7 @@
     expect(network.hosts.get(2)?.fleet.attemptsOf('host-1')).toHaveLength(0);
   });
 
-  it('never proves more than its peer knew, with messages late, lost, and lives that change', () => {
+  it('never confirms state as more recent than its peer knows it, with late and lost messages and restarts', () => {
     const step = fc.oneof(
       {
         weight: 4,
--- a/packages/relay/src/peers/peer-rank.test.ts
+++ b/packages/relay/src/peers/peer-rank.test.ts
@@ -16,7 +16,7 @@
 }
 
 describe('rankPeers', () => {
-  it('puts large hosts first, and of equals the availability zones by turns', () => {
+  it('ranks hosts with more capacity first, and alternates between availability zones among equals', () => {
     const hosts = [
       named('a-1', 'a', 1),
       named('a-2', 'a', 1),
@@ -28,7 +28,7 @@
     expect(ranked).toEqual(['b-2', 'a-1', 'b-1', 'c-1', 'a-2']);
   });
 
-  it('is the same on all hosts, in whichever order they came to know the others', () => {
+  it('gives the same order on all hosts, in whichever order they have learned of the others', () => {
     fc.assert(
       fc.property(fc.uniqueArray(peer, { selector: ({ host }) => host }), fc.nat(), (hosts, by) => {
         const turned = [...hosts.slice(by % (hosts.length + 1)), ...hosts].slice(0, hosts.length);
--- a/packages/relay/src/peers/quarantine-exchange.test.ts
+++ b/packages/relay/src/peers/quarantine-exchange.test.ts
@@ -17,7 +17,7 @@
   return meshNetwork;
 }
 
-/** A server ends under a run that begins now. */
+/** Reports on `host` that a server terminated during a run that starts now. */
 function terminateServer(host: Host | undefined, content = CONTENT): void {
   host?.quarantine.onTermination(content, host.quarantine.historyOf(content), 'i-1');
 }
@@ -32,17 +32,20 @@
     [4, 1],
     [12, 3],
     [60, 5],
-  ])('tells all of %i hosts in %i zones at once, whoever saw the ends', async (count, zones) => {
-    const hosts = network(count, zones);
-    await hosts.run(2000);
-    for (const port of [count, 1, count - 1]) {
-      terminateServer(hosts.hosts.get(port));
-      await hosts.run(200);
-    }
-    expect(holders(hosts)).toBe(count);
-  });
+  ])(
+    'informs all of %i hosts in %i zones at once, whichever hosts detected the terminations',
+    async (count, zones) => {
+      const hosts = network(count, zones);
+      await hosts.run(2000);
+      for (const port of [count, 1, count - 1]) {
+        terminateServer(hosts.hosts.get(port));
+        await hosts.run(200);
+      }
+      expect(holders(hosts)).toBe(count);
+    },
+  );
 
-  it('sends no message from all to all, and frees the request everywhere once it was served', async () => {
+  it('does not send from all hosts to all, and releases the request everywhere once it was served', async () => {
     const hosts = network(60, 5);
     await hosts.run(2000);
     hosts.sent.length = 0;
@@ -54,14 +57,14 @@
     for (let index = 0; index < 3; index += 1) terminateServer(hosts.hosts.get(30));
     await hosts.run(300);
     expect(holders(hosts)).toBe(60);
-    // Three changes are told at once: to the first two, by each of them to all, once.
+    // Three changes are sent at once: to the two coordinators, and once by each of those to all.
     expect(messages).toBeLessThan(3 * 2 * 60);
     hosts.hosts.get(17)?.quarantine.onServed(CONTENT);
     await hosts.run(300);
     expect(holders(hosts)).toBe(0);
   });
 
-  it('reaches all within three seconds though nine of ten messages are lost', async () => {
+  it('reaches all hosts within three seconds by heartbeats alone, of which four in ten are lost', async () => {
     const hosts = network(12, 3);
     await hosts.run(2000);
     let drawn = 1;
@@ -74,7 +77,7 @@
     expect(holders(hosts)).toBe(12);
   });
 
-  it('lets one host of all give a trial when the time of a request is over', async () => {
+  it('lets exactly one host allow a trial run when the hold time of a request is over', async () => {
     const hosts = network(12, 3);
     await hosts.run(2000);
     for (let index = 0; index < 3; index += 1) terminateServer(hosts.hosts.get(9));
@@ -89,7 +92,7 @@
     expect(trials).toBe(1);
   });
 
-  it('reaches a host that has just started, and holds on when those who told it first are gone', async () => {
+  it('reaches a host that has just started, and lasts when the hosts that reported it first are gone', async () => {
     const hosts = network(6, 2);
     await hosts.run(2000);
     for (let index = 0; index < 3; index += 1) terminateServer(hosts.hosts.get(1));
@@ -101,30 +104,31 @@
     expect(started.quarantine.judge(CONTENT)).toBe('held');
   });
 
-  it('agrees again once a cut in two has healed', async () => {
+  it('agrees again once a network partition has healed', async () => {
     const hosts = network(6);
     await hosts.run(2000);
-    const isLeft = (port: number) => port <= 3;
+    const isOnFirstSide = (port: number) => port <= 3;
     const from = new Map(ports(6).map((port) => [`host-${String(port)}`, port]));
-    const isCut = (sender: string, to: number) => isLeft(from.get(sender) ?? 0) !== isLeft(to);
-    const runCut = async (forMs: number) => {
+    const isAcrossPartition = (sender: string, to: number) =>
+      isOnFirstSide(from.get(sender) ?? 0) !== isOnFirstSide(to);
+    const runPartitioned = async (forMs: number) => {
       for (let passedMs = 0; passedMs < forMs; passedMs += 50) {
         await hosts.clock.advance(50);
-        const kept = hosts.sent.filter(({ from: sender, to }) => !isCut(sender, to));
+        const kept = hosts.sent.filter(({ from: sender, to }) => !isAcrossPartition(sender, to));
         hosts.sent.splice(0, hosts.sent.length, ...kept);
         while (hosts.sent.length > 0) hosts.deliver(0);
       }
     };
-    await runCut(4000);
+    await runPartitioned(4000);
     for (let index = 0; index < 3; index += 1) terminateServer(hosts.hosts.get(5));
     terminateServer(hosts.hosts.get(2));
-    await runCut(2000);
+    await runPartitioned(2000);
     expect(holders(hosts)).toBe(3);
     await hosts.run(2500);
     expect(holders(hosts)).toBe(6);
   });
 
-  it('takes heartbeats of a release that knows nothing of it', () => {
+  it('accepts heartbeats of an earlier release, which knows no quarantine', () => {
     const hosts = network(2);
     const beat = hosts.sent.find(({ message }) => message.kind === 'beat');
     if (beat?.message.kind !== 'beat') throw new Error('no heartbeat');
@@ -133,7 +137,7 @@
     expect(decodeMessage(pack(earlier))).toMatchObject({ kind: 'beat', quarantine: [] });
   });
 
-  it('tells at most 24 KB a second when a thousand different requests end servers', async () => {
+  it('sends at most 24 KB per second when a thousand different requests terminate servers', async () => {
     const hosts = network(6, 2);
     await hosts.run(2000);
     let told = 0;
@@ -152,7 +156,7 @@
       await hosts.run(1000);
     }
     expect(most).toBeLessThanOrEqual(16);
-    // From each host every 100 ms at the most, to five others.
+    // At most one message per 100 ms from each host to each of the five others.
     expect(told).toBeLessThanOrEqual(6 * 51 * 5);
   });
 });
