--- a/packages/relay/src/peers/peer-messages.ts
+++ b/packages/relay/src/peers/peer-messages.ts
@@ -37,7 +37,7 @@
 const quarantineEntrySchema = z.tuple([
   z.string().min(1).describe('content'),
   z.int().min(0).describe('round'),
-  z.int().min(0).describe('number of terminations'),
+  z.int().min(0).describe('ends'),
   z.number().min(0).describe('remaining hold time'),
   z.number().min(0).describe('time since the last change'),
   z.array(terminationSchema).max(MAX_REPORTED_TERMINATIONS).describe('last terminations'),
