--- a/packages/relay/src/peers/attempt-exchange.ts
+++ b/packages/relay/src/peers/attempt-exchange.ts
@@ -125,7 +125,10 @@
     for (const host of this.plannersOf(service)) this.#sendTo(host, message);
   }
 
-  /** Sends to the planners for a service of engines, as they select among those, and to every host for others. */
+  /**
+   * Sends `message` to the hosts that select among the servers of `service`: to its planners if it is
+   * an engine service, otherwise to every host.
+   */
   #notifySelectingHosts(service: string, message: PeerMessage): void {
     const { engineServices, peers, send } = this.parts;
     if (engineServices().includes(service)) this.#notifyPlanners(service, message);
--- a/packages/relay/src/peers/leaving-exchange.test.ts
+++ b/packages/relay/src/peers/leaving-exchange.test.ts
@@ -17,7 +17,7 @@
   return [...hosts.values()].filter(({ list }) => list.isLeaving(ENGINE)).length;
 }
 
-describe('LeavingNews', () => {
+describe('LeavingExchange', () => {
   it.each([
     [4, 1],
     [12, 3],
--- a/packages/relay/src/peers/limit-exchange.ts
+++ b/packages/relay/src/peers/limit-exchange.ts
@@ -25,7 +25,7 @@
 
 /**
  * Broadcasts the rate limits that servers report, once per change: a limit applies to all hosts together, and planners
- * select servers for the hosts that have received it. Heartbeats to and from the coordinators make up for lost
+ * select servers for the hosts that received the report. Heartbeats to and from the coordinators make up for lost
  * messages, and inform hosts that have just started.
  */
 export class LimitExchange {
--- a/packages/relay/src/peers/quarantine-exchange.test.ts
+++ b/packages/relay/src/peers/quarantine-exchange.test.ts
@@ -18,7 +18,7 @@
 }
 
 /** Reports on `host` that a server terminated during a run that starts now. */
-function terminateServer(host: Host | undefined, content = CONTENT): void {
+function reportTermination(host: Host | undefined, content = CONTENT): void {
   host?.quarantine.onTermination(content, host.quarantine.historyOf(content), 'i-1');
 }
 
@@ -27,7 +27,7 @@
     .length;
 }
 
-describe('QuarantineNews', () => {
+describe('QuarantineExchange', () => {
   it.each([
     [4, 1],
     [12, 3],
@@ -38,7 +38,7 @@
       const hosts = network(count, zones);
       await hosts.run(2000);
       for (const port of [count, 1, count - 1]) {
-        terminateServer(hosts.hosts.get(port));
+        reportTermination(hosts.hosts.get(port));
         await hosts.run(200);
       }
       expect(holders(hosts)).toBe(count);
@@ -54,7 +54,7 @@
       if (kind === 'quarantine') messages += 1;
       return false;
     };
-    for (let index = 0; index < 3; index += 1) terminateServer(hosts.hosts.get(30));
+    for (let index = 0; index < 3; index += 1) reportTermination(hosts.hosts.get(30));
     await hosts.run(300);
     expect(holders(hosts)).toBe(60);
     // Three changes are sent at once: to the two coordinators, and once by each of those to all.
@@ -72,7 +72,7 @@
       drawn = (drawn * 16_807) % 2_147_483_647;
       return kind === 'quarantine' || drawn % 10 < 4;
     };
-    for (let index = 0; index < 3; index += 1) terminateServer(hosts.hosts.get(9));
+    for (let index = 0; index < 3; index += 1) reportTermination(hosts.hosts.get(9));
     await hosts.run(3000);
     expect(holders(hosts)).toBe(12);
   });
@@ -80,7 +80,7 @@
   it('lets exactly one host allow a trial run when the hold time of a request is over', async () => {
     const hosts = network(12, 3);
     await hosts.run(2000);
-    for (let index = 0; index < 3; index += 1) terminateServer(hosts.hosts.get(9));
+    for (let index = 0; index < 3; index += 1) reportTermination(hosts.hosts.get(9));
     await hosts.run(19_000);
     let trials = 0;
     for (let passedMs = 0; passedMs < 15_000; passedMs += 50) {
@@ -95,7 +95,7 @@
   it('reaches a host that has just started, and lasts when the hosts that reported it first are gone', async () => {
     const hosts = network(6, 2);
     await hosts.run(2000);
-    for (let index = 0; index < 3; index += 1) terminateServer(hosts.hosts.get(1));
+    for (let index = 0; index < 3; index += 1) reportTermination(hosts.hosts.get(1));
     await hosts.run(500);
     for (const port of [1, 2]) hosts.hosts.delete(port);
     await hosts.run(5000);
@@ -120,8 +120,8 @@
       }
     };
     await runPartitioned(4000);
-    for (let index = 0; index < 3; index += 1) terminateServer(hosts.hosts.get(5));
-    terminateServer(hosts.hosts.get(2));
+    for (let index = 0; index < 3; index += 1) reportTermination(hosts.hosts.get(5));
+    reportTermination(hosts.hosts.get(2));
     await runPartitioned(2000);
     expect(holders(hosts)).toBe(3);
     await hosts.run(2500);
@@ -151,7 +151,7 @@
     };
     for (let second = 0; second < 5; second += 1) {
       for (let index = 0; index < 200; index += 1) {
-        terminateServer(hosts.hosts.get(4), `content-${String(second)}-${String(index)}`);
+        reportTermination(hosts.hosts.get(4), `content-${String(second)}-${String(index)}`);
       }
       await hosts.run(1000);
     }
