--- a/packages/relay/src/peers/byte-encoding.ts
+++ b/packages/relay/src/peers/byte-encoding.ts
@@ -10,7 +10,7 @@
   return deflateRawSync(bytes);
 }
 
-/** Decompresses bytes. Returns undefined if they are not valid compressed data, or too many. */
+/** Decompresses bytes. Returns undefined if they are invalid or exceed `MAX_DECOMPRESSED_BYTES`. */
 export function decompressBytes(packed: Uint8Array): Buffer | undefined {
   try {
     return inflateRawSync(packed, { maxOutputLength: MAX_DECOMPRESSED_BYTES });
--- a/packages/relay/src/peers/peer-mesh-at-size.test.ts
+++ b/packages/relay/src/peers/peer-mesh-at-size.test.ts
@@ -71,10 +71,10 @@
       ),
     );
     const newest = { ...CONFIGURATION, version: 2 };
-    const heard: number[] = [];
+    const received: number[] = [];
     for (const { activeConfiguration, syncState } of network.hosts.values()) {
       syncState.onConfigurationReceived((bytes) => {
-        heard.push(bytes.length);
+        received.push(bytes.length);
         activeConfiguration.apply(newest);
         syncState.onConfigurationActivated(bytes);
       });
@@ -89,7 +89,7 @@
     reader?.syncState.onConfigurationActivated(long);
     reader?.mesh.publishStoreState();
     await network.run(2500);
-    expect(heard).toEqual([long.length, long.length, long.length, long.length]);
+    expect(received).toEqual([long.length, long.length, long.length, long.length]);
     for (const { syncState } of network.hosts.values()) {
       expect(syncState.isConfigurationBehind).toBe(false);
     }
--- a/packages/relay/src/peers/peer-mesh.test.ts
+++ b/packages/relay/src/peers/peer-mesh.test.ts
@@ -138,15 +138,15 @@
     const network = new MeshNetwork();
     for (const port of PORTS) network.start(port, PORTS);
     await network.run(1000);
-    const startedAgain: (number | undefined)[] = [];
+    const reportedStartTimes: (number | undefined)[] = [];
     for (const { list } of network.hosts.values()) {
-      list.onNewIncarnation(({ startedAtMs }) => startedAgain.push(startedAtMs));
+      list.onNewIncarnation(({ startedAtMs }) => reportedStartTimes.push(startedAtMs));
     }
     const reader = network.hosts.get(1);
     reader?.list.replace([{ ...ENGINE, port: 2, startedAtMs: 7 }], 0, 2);
     reader?.mesh.publishStoreState();
     await network.run(50);
-    expect(startedAgain).toEqual(PORTS.map(() => 7));
+    expect(reportedStartTimes).toEqual(PORTS.map(() => 7));
     for (const { list } of network.hosts.values()) {
       expect(list.available(ENGINE_SERVICE)).toEqual([{ ...ENGINE, port: 2, startedAtMs: 7 }]);
     }
@@ -190,15 +190,15 @@
     const network = new MeshNetwork();
     for (const port of PORTS) network.start(port, PORTS);
     await network.run(1000);
-    const heard: string[] = [];
+    const received: string[] = [];
     const last = network.hosts.get(5);
-    last?.syncState.onConfigurationReceived((bytes) => heard.push(bytes.toString()));
+    last?.syncState.onConfigurationReceived((bytes) => received.push(bytes.toString()));
     const reader = network.hosts.get(1);
     reader?.activeConfiguration.apply({ ...CONFIGURATION, version: 2 });
     reader?.syncState.onConfigurationActivated(Buffer.from('as it is kept'));
     reader?.mesh.publishStoreState();
     await network.run(50);
-    expect(heard).toEqual(['as it is kept']);
+    expect(received).toEqual(['as it is kept']);
     expect(last?.syncState.isConfigurationBehind).toBe(true);
   });
 
@@ -209,9 +209,9 @@
     const [first, second] = [network.hosts.get(1), network.hosts.get(2)];
     first?.list.replace([ENGINE, { ...ENGINE, id: 'i-2' }], 0, 2);
     first?.mesh.publishStoreState();
-    const isNewsToSecond = ({ to, message }: SentMessage) =>
+    const isDeltaToSecond = ({ to, message }: SentMessage) =>
       to === 2 && message.kind === 'list_change';
-    const lost = network.sent.findIndex(isNewsToSecond);
+    const lost = network.sent.findIndex(isDeltaToSecond);
     expect(lost).toBeGreaterThanOrEqual(0);
     network.sent.splice(lost, 1);
     for (let round = 0; round < 3; round += 1) {
@@ -236,13 +236,13 @@
     network.hosts.delete(5);
     await network.run(2500);
     const started = network.start(5, [], false, false);
-    const heard: string[] = [];
+    const received: string[] = [];
     started.syncState.onConfigurationReceived((bytes) => {
-      heard.push(bytes.toString());
+      received.push(bytes.toString());
       started.activeConfiguration.apply(newest);
     });
     await network.run(1500);
-    expect(heard[0]).toBe('as it is kept');
+    expect(received[0]).toBe('as it is kept');
     expect(started.list.isKnown).toBe(true);
     expect(started.syncState.isConfigurationBehind).toBe(false);
     expect(started.mesh.aliveCount).toBeGreaterThan(0);
@@ -259,8 +259,8 @@
     }
     network.sent.length = 0;
     await network.clock.advance(500);
-    const asked = network.sent.filter(({ from }) => from === 'host-30').map(({ to }) => to);
-    expect(new Set(asked).size).toBeLessThanOrEqual(10);
+    const queried = network.sent.filter(({ from }) => from === 'host-30').map(({ to }) => to);
+    expect(new Set(queried).size).toBeLessThanOrEqual(10);
     expect(network.hosts.get(30)?.mesh.aliveCount).toBeGreaterThan(0);
   });
 
@@ -268,8 +268,8 @@
     const network = new MeshNetwork();
     for (const port of [1, 2]) network.start(port, [1, 2]);
     await network.run(3000);
-    const asking = network.hosts.get(1);
-    asking?.mesh.askPlan('host-2', {
+    const requester = network.hosts.get(1);
+    requester?.mesh.askPlan('host-2', {
       attemptId: 'a',
       requestId: 'r',
       host: 'host-1',
@@ -288,11 +288,11 @@
       excludedIds: [],
     });
     await network.run(50);
-    expect(asking?.answers).toMatchObject([
+    expect(requester?.answers).toMatchObject([
       { attemptId: 'a', answer: { kind: 'place', stream: { writerId: 'i-1' } } },
     ]);
     expect(network.hosts.get(2)?.fleet.attemptsOf('host-1')).toHaveLength(1);
-    asking?.mesh.withdrawPlan('host-2', 'a');
+    requester?.mesh.withdrawPlan('host-2', 'a');
     await network.run(50);
     expect(network.hosts.get(2)?.fleet.attemptsOf('host-1')).toHaveLength(0);
   });
@@ -313,22 +313,22 @@
         const network = new MeshNetwork();
         const reader = network.start(1, [2]);
         let other = network.start(2, [1]);
-        let provedAtMs = Number.NEGATIVE_INFINITY;
+        let confirmedAtMs = Number.NEGATIVE_INFINITY;
         for (const { kind, ms } of steps) {
           if (kind === 'pass') await network.clock.advance(ms);
           if (kind === 'deliver' && network.sent.length > 0)
             network.deliver(ms % network.sent.length);
           if (kind === 'lose') network.sent.splice(ms, 1);
           if (kind === 'prove') {
-            provedAtMs = network.clock.monotonicMs();
-            reader.freshness.confirm(provedAtMs - reader.startedAtMs);
+            confirmedAtMs = network.clock.monotonicMs();
+            reader.freshness.confirm(confirmedAtMs - reader.startedAtMs);
           }
           if (kind === 'restart') {
             other.mesh.stop();
             other = network.start(2, [1]);
           }
           const knownAtMs = network.clock.monotonicMs() - other.freshness.ageMs();
-          expect(knownAtMs).toBeLessThanOrEqual(provedAtMs);
+          expect(knownAtMs).toBeLessThanOrEqual(confirmedAtMs);
         }
       }),
       { numRuns: 300, seed: 9 },
