--- /dev/null
+++ b/packages/relay/src/peers/heartbeat-exchange.ts
@@ -0,0 +1,104 @@
+import type { Milliseconds } from '@poppypond/core';
+import type { FleetView } from '@poppypond/fleet';
+import type { Planner } from '../planning/planner.js';
+import type { ExchangeParts } from './exchange-parts.js';
+import { datedVersionsOf, makeHeartbeat } from './heartbeat.js';
+import type { LimitExchange } from './limit-exchange.js';
+import type { PeerAddress } from './peer-list.js';
+import type { Heartbeat } from './peer-messages.js';
+import type { QuarantineExchange } from './quarantine-exchange.js';
+import type { StoreSyncState } from './store-sync-state.js';
+import { fromWireAttemptUse } from './planning-wire-format.js';
+
+/** Number of silent hosts to which each coordinator sends a heartbeat per period, in rotation. */
+const SILENT_PEERS_PER_PERIOD = 4;
+
+/** Dependencies of `HeartbeatExchange`. */
+export interface HeartbeatExchangeParts extends ExchangeParts {
+  readonly self: PeerAddress & { readonly incarnation: string };
+  readonly fleet: FleetView;
+  readonly planner: Planner;
+  readonly syncState: StoreSyncState;
+  readonly quarantineExchange: QuarantineExchange;
+  readonly limitExchange: LimitExchange;
+  /** Number of engine services. */
+  readonly engineServiceCount: () => number;
+  /** Whether a host is a planner, which has to know the attempts of this one. */
+  readonly isPlanner: (host: string) => boolean;
+}
+
+/** Exchanges heartbeats with the few hosts that this one depends on, and that depend on it. */
+export class HeartbeatExchange {
+  #silentOffset = 0;
+
+  constructor(readonly parts: HeartbeatExchangeParts) {}
+
+  /** Requests heartbeats from all peers that this host depends on, and from some silent ones. */
+  requestFromPeers(): void {
+    const { engineServiceCount, peers } = this.parts;
+    const queried = peers.peersToQuery(engineServiceCount());
+    peers.recordQueried(queried);
+    for (const host of queried) this.send(host, true);
+    this.#requestFromSilentPeers();
+  }
+
+  /** Sends one heartbeat. `isQuestion`: whether the peer has to answer at once with its own. */
+  send(host: string, isQuestion: boolean): void {
+    const { clock, fleet, isPlanner, syncState, peers, planner, self } = this.parts;
+    const { limitExchange, quarantineExchange } = this.parts;
+    const peer = peers.find(host);
+    if (!peer) return;
+    const told = {
+      canPlan: planner.canPlan,
+      isPlanner: isPlanner(host),
+      memberCount: peers.size + 1,
+      isQuestion,
+      quarantine: quarantineExchange.forHeartbeat(),
+      limits: limitExchange.forHeartbeat(),
+      nowMs: clock.monotonicMs(),
+    };
+    this.parts.send([peer], makeHeartbeat({ self, fleet, syncState, ...told }, peer));
+  }
+
+  /** Applies a heartbeat, and answers it if it requests an answer. */
+  onHeartbeat(beat: Heartbeat): void {
+    const { fleet, syncState, limitExchange, peers, quarantineExchange, self } = this.parts;
+    const nowMs: Milliseconds = this.parts.clock.monotonicMs();
+    const uses = beat.uses?.map((use) => fromWireAttemptUse(use, beat.host, nowMs));
+    if (uses) fleet.replaceHost(beat.host, uses, nowMs);
+    peers.recordMemberCount(beat.host, beat.memberCount);
+    quarantineExchange.onHeartbeat(beat);
+    limitExchange.onHeartbeat(beat);
+    if (beat.isQuestion) this.send(beat.host, false);
+    const word = datedVersionsOf(beat, self.incarnation);
+    if (word) syncState.onDatedPeerVersions(word);
+    else syncState.onPeerVersions(beat);
+  }
+
+  /**
+   * Requests a heartbeat from `host` if the age of this host's configuration or server list is
+   * unknown. State received from peers is not dated, and a host that has just started may serve
+   * nothing based on it. The next regular heartbeat would arrive up to a second later, and until
+   * then every request would be refused.
+   */
+  requestConfirmation(host: string): void {
+    const { configurationAgeMs, listAgeMs } = this.parts.syncState;
+    if (!Number.isFinite(configurationAgeMs) || !Number.isFinite(listAgeMs)) this.send(host, true);
+  }
+
+  /**
+   * Coordinators send heartbeats to silent hosts, a few per period and in rotation: a host that has
+   * started during a store outage knows no other host, and gets what it needs to serve from them.
+   */
+  #requestFromSilentPeers(): void {
+    const { peers } = this.parts;
+    if (!peers.isCoordinator() || peers.aliveCount === 0) return;
+    const silent = peers.silent();
+    const count = Math.min(SILENT_PEERS_PER_PERIOD, silent.length);
+    for (let sent = 0; sent < count; sent += 1) {
+      const next = silent[(this.#silentOffset + sent) % silent.length];
+      if (next) this.send(next.host, true);
+    }
+    this.#silentOffset += count;
+  }
+}
--- a/packages/relay/src/peers/leaving-news.test.ts
+++ b/packages/relay/src/peers/leaving-exchange.test.ts
@@ -3,34 +3,37 @@
 import { ENGINE, MeshNetwork } from './mocks/mesh-network.js';
 import { decodeMessage } from './peer-messages.js';
 
-const LEAVES = { isLeaving: true, backoffMs: undefined };
+const LEAVING_NOTICE = { isLeaving: true, backoffMs: undefined };
 
 function network(count: number, zones: number): MeshNetwork {
-  const made = new MeshNetwork();
-  made.zones = zones;
+  const meshNetwork = new MeshNetwork();
+  meshNetwork.zones = zones;
   const ports = Array.from({ length: count }, (_unused, index) => index + 1);
-  for (const port of ports) made.start(port, ports);
-  return made;
+  for (const port of ports) meshNetwork.start(port, ports);
+  return meshNetwork;
 }
 
-function knowers({ hosts }: MeshNetwork): number {
+function countInformedHosts({ hosts }: MeshNetwork): number {
   return [...hosts.values()].filter(({ list }) => list.isLeaving(ENGINE)).length;
 }
 
-describe('LeavingNews', () => {
+describe('LeavingExchange', () => {
   it.each([
     [4, 1],
     [12, 3],
     [60, 5],
-  ])('tells all of %i hosts in %i zones at once, whoever heard it', async (count, zones) => {
-    const hosts = network(count, zones);
-    await hosts.run(2000);
-    hosts.hosts.get(count)?.notices.recordNotice(ENGINE, LEAVES);
-    await hosts.run(100);
-    expect(knowers(hosts)).toBe(count);
-  });
+  ])(
+    'informs all of %i hosts in %i zones at once, whichever host received the notice',
+    async (count, zones) => {
+      const hosts = network(count, zones);
+      await hosts.run(2000);
+      hosts.hosts.get(count)?.notices.recordNotice(ENGINE, LEAVING_NOTICE);
+      await hosts.run(100);
+      expect(countInformedHosts(hosts)).toBe(count);
+    },
+  );
 
-  it('sends no message from all to all, also where all hear it at once, and each but once', async () => {
+  it('does not send from all hosts to all when all receive the notice, and sends no repetition', async () => {
     const hosts = network(60, 5);
     await hosts.run(2000);
     let messages = 0;
@@ -38,25 +41,25 @@
       if (kind === 'leaving') messages += 1;
       return false;
     };
-    for (const { notices } of hosts.hosts.values()) notices.recordNotice(ENGINE, LEAVES);
+    for (const { notices } of hosts.hosts.values()) notices.recordNotice(ENGINE, LEAVING_NOTICE);
     await hosts.run(100);
     const once = messages;
-    // Each tells the first two, which tell all of their zone and one host of each other.
+    // Each host sends to the two coordinators, which send to all of their zone and to one host of each other zone.
     expect(once).toBeLessThan(3 * 60);
-    for (const { notices } of hosts.hosts.values()) notices.recordNotice(ENGINE, LEAVES);
+    for (const { notices } of hosts.hosts.values()) notices.recordNotice(ENGINE, LEAVING_NOTICE);
     await hosts.run(100);
     expect(messages).toBe(once);
   });
 
-  it('has planners elsewhere plan nothing there, by the first word of any host', async () => {
+  it('makes all hosts stop selecting a server as soon as one of them has received its notice', async () => {
     const hosts = network(12, 3);
     await hosts.run(2000);
-    hosts.hosts.get(12)?.notices.recordNotice(ENGINE, LEAVES);
+    hosts.hosts.get(12)?.notices.recordNotice(ENGINE, LEAVING_NOTICE);
     await hosts.run(100);
     for (const { list } of hosts.hosts.values()) expect(list.available(ENGINE.service)).toEqual([]);
   });
 
-  it('takes questions to planners of a release that knows of no exclusion', () => {
+  it('accepts plan requests of an earlier release, which knows no excluded servers', () => {
     const ask = {
       attempt: 'a',
       request: 'r',
--- a/packages/relay/src/peers/mocks/mesh-network.ts
+++ b/packages/relay/src/peers/mocks/mesh-network.ts
@@ -17,26 +17,26 @@
 import { PeerMesh } from '../peer-mesh.js';
 import { StoreSyncState } from '../store-sync-state.js';
 
-/** A clock of one process: the common one, counted from the start of the process. */
-function clockFrom(common: ManualClock, startedAtMs: Milliseconds): Clock {
+/** Clock of one process: the common clock, counted from the start of the process. */
+function processClock(shared: ManualClock, startedAtMs: Milliseconds): Clock {
   return {
-    monotonicMs: () => common.monotonicMs() - startedAtMs,
-    wallMs: () => common.wallMs(),
-    after: (delayMs, callback) => common.after(delayMs, callback),
-    every: (periodMs, callback) => common.every(periodMs, callback),
+    monotonicMs: () => shared.monotonicMs() - startedAtMs,
+    wallMs: () => shared.wallMs(),
+    after: (delayMs, callback) => shared.after(delayMs, callback),
+    every: (periodMs, callback) => shared.every(periodMs, callback),
   };
 }
 
-interface HeardAnswer {
+interface ReceivedAnswer {
   readonly attemptId: string;
   readonly answer: PlanAnswer;
 }
 
-const draw = () => 0.5;
-/** The only engine. */
+const random = () => 0.5;
+/** The engine that the store lists unless a test sets other servers. */
 export const ENGINE = engineServer('i-1');
 
-/** What is in force on a host from its start. */
+/** The configuration that is active on a host from its start. */
 export const CONFIGURATION: RoutingConfiguration = {
   version: 1,
   routes: [],
@@ -50,18 +50,18 @@
   return { host, address: 'a', port, availabilityZone: 'zone-a', capacity: 1 };
 }
 
-/** A message on its way. */
-export interface Sent {
+/** A message in transit. */
+export interface SentMessage {
   readonly from: string;
   readonly to: number;
   readonly message: PeerMessage;
 }
 
-/** One host of a network. */
+/** One host of a `MeshNetwork`. */
 export interface Host {
   readonly mesh: PeerMesh;
   readonly fleet: FleetView;
-  readonly inForce: ActiveConfiguration;
+  readonly activeConfiguration: ActiveConfiguration;
   readonly freshness: Freshness;
   readonly list: ServerList;
   readonly syncState: StoreSyncState;
@@ -71,53 +71,56 @@
   readonly placement: PlacementClient;
   readonly clock: Clock;
   readonly startedAtMs: Milliseconds;
-  /** Answers of planners. */
-  readonly answers: HeardAnswer[];
+  /** Answers that this host has received from planners. */
+  readonly answers: ReceivedAnswer[];
 }
 
-/** Hosts whose messages are delivered when the test says so. */
+/** Hosts whose messages are delivered when the test requests it. */
 export class MeshNetwork {
   readonly clock = new ManualClock();
-  readonly sent: Sent[] = [];
+  readonly sent: SentMessage[] = [];
   readonly hosts = new Map<number, Host>();
-  /** What each host's store lists from its start. */
+  /** Servers that the store lists for each host from its start. */
   servers: readonly BackendServer[] = [ENGINE];
-  /** Hosts are spread over this many availability zones by turns. */
+  /** Number of availability zones, over which hosts are distributed round-robin. */
   zones = 1;
-  /** Whether a message never arrives. */
+  /** Whether a message is lost. */
   lost: (message: PeerMessage, to: string) => boolean = () => false;
-  /** Hosts that others have found to be gone for good. */
+  /** Hosts that others have reported as permanently gone. */
   readonly gone: string[] = [];
-  #lives = 0;
+  #incarnations = 0;
 
-  /** Starts a host that the store has told who is `known`. */
-  start(port: number, known: readonly number[], knowsServers = true, isListed = true): Host {
+  /**
+   * Starts a host that has read from the store that the hosts at the ports `known` are members. It
+   * has not read the server list if `hasServerList` is false, nor the members if `isListed` is false.
+   */
+  start(port: number, known: readonly number[], hasServerList = true, isListed = true): Host {
     const startedAtMs = this.clock.monotonicMs();
-    const clock = clockFrom(this.clock, startedAtMs);
-    const inForce = new ActiveConfiguration();
-    inForce.apply(CONFIGURATION);
+    const clock = processClock(this.clock, startedAtMs);
+    const activeConfiguration = new ActiveConfiguration();
+    activeConfiguration.apply(CONFIGURATION);
     const freshness = new Freshness(clock);
     const list = new ServerList(clock, silentLog);
     const fleet = new FleetView();
-    this.#lives += 1;
-    const knowledge = new StoreSyncState({ clock, inForce, freshness, list });
+    this.#incarnations += 1;
+    const syncState = new StoreSyncState({ clock, inForce: activeConfiguration, freshness, list });
     const own = { clock, log: silentLog, measures: new Measures(), host: addressOf(port).host };
-    const rests = new ServerBackoffs(draw);
+    const rests = new ServerBackoffs(random);
     const limits = new ServerLimits();
     const notices = new ServerNotices({ ...own, servers: list, rests, limits });
     const quarantine = new SharedQuarantine({
       ...own,
       quarantine: new Quarantine(),
     });
-    const answers: HeardAnswer[] = [];
+    const answers: ReceivedAnswer[] = [];
     const planner: Planner = new Planner({
       clock,
-      activeConfiguration: inForce,
+      activeConfiguration,
       servers: list,
       fleet,
-      random: draw,
+      random,
       limits,
-      limitPartOf: (service, isAlone) => mesh.limitPart(service, isAlone),
+      limitPartOf: (service, isFallback) => mesh.limitPart(service, isFallback),
     });
     const mesh: PeerMesh = new PeerMesh({
       clock,
@@ -127,15 +130,15 @@
           this.sent.push({ from: addressOf(port).host, to, message });
         },
       },
-      self: { ...this.addressOf(port), incarnation: `life-${String(this.#lives)}` },
+      self: { ...this.addressOf(port), incarnation: `life-${String(this.#incarnations)}` },
       fleet,
       planner,
       engineServices: () => [ENGINE_SERVICE],
       onPlan: (attemptId, answer) => {
         answers.push({ attemptId, answer });
-        placing.onPlanAnswer(attemptId, answer);
+        placement.onPlanAnswer(attemptId, answer);
       },
-      syncState: knowledge,
+      syncState,
       quarantine,
       notices,
       limits,
@@ -143,16 +146,16 @@
       onGone: (gone) => this.gone.push(gone),
     });
     const { host: name } = addressOf(port);
-    const placing = new PlacementClient({
+    const placement = new PlacementClient({
       clock,
       log: silentLog,
       host: name,
       peers: mesh,
       planner,
     });
-    if (knowsServers) list.replace(this.servers, 0, 1);
-    const beliefs = { inForce, freshness, list, syncState: knowledge, quarantine, notices, limits };
-    const host = { mesh, fleet, placement: placing, clock, ...beliefs, startedAtMs, answers };
+    if (hasServerList) list.replace(this.servers, 0, 1);
+    const state = { activeConfiguration, freshness, list, syncState, quarantine, notices, limits };
+    const host = { mesh, fleet, placement, clock, ...state, startedAtMs, answers };
     this.hosts.set(port, host);
     mesh.start();
     if (isListed) mesh.addMembers(known.map((other) => this.addressOf(other)));
@@ -171,7 +174,7 @@
       this.hosts.get(sent.to)?.mesh.receive(message, 'a');
   }
 
-  /** Lets time pass with every message delivered at once. */
+  /** Advances the clock in steps, and delivers every message at once. */
   async run(forMs: Milliseconds, stepMs: Milliseconds = 50): Promise<void> {
     for (let passedMs = 0; passedMs < forMs; passedMs += stepMs) {
       await this.clock.advance(stepMs);
--- a/packages/relay/src/peers/peer-list.ts
+++ b/packages/relay/src/peers/peer-list.ts
@@ -1,56 +1,67 @@
 import type { Clock, Milliseconds } from '@poppypond/core';
-import type { Beat, PeerMessage } from './peer-messages.js';
+import type { Heartbeat, PeerMessage } from './peer-messages.js';
 import { rankPeers } from './peer-rank.js';
 
-/** Another host that runs a relay. */
+/** Address, availability zone and capacity of a host that runs a relay. */
 export interface PeerAddress {
   readonly host: string;
   readonly address: string;
   readonly port: number;
   readonly availabilityZone: string;
-  /** Processor that it has, in cores of the usual speed. */
+  /** CPU capacity, in cores of the reference speed. */
   readonly capacity: number;
 }
 
-/** Another host, and what its messages said of itself. */
+/** Another host, and the state that it reported in its messages. */
 export interface Peer extends PeerAddress {
-  /** The life of its process that was heard last; undefined while never heard. */
+  /** Incarnation of its process that was heard from last; undefined if it was never heard from. */
   readonly incarnation: string | undefined;
-  /** When this life of it was first heard, on this process's clock. */
+  /** When this incarnation was first heard from, on this process's clock. */
   readonly heardSinceMs: Milliseconds | undefined;
-  /** When it was last heard, on this process's clock. */
+  /** When it was last heard from, on this process's clock. */
   readonly heardAtMs: Milliseconds | undefined;
-  /** The `sentAtMs` of its last beat, on its own clock. */
+  /** The `sentAtMs` of its last heartbeat, on its own clock. */
   readonly lastSentAtMs: Milliseconds | undefined;
-  /** Since when it was asked for a heartbeat without an answer, on this process's clock. */
-  readonly askedSinceMs: Milliseconds | undefined;
-  /** Whether it said that it knows what planning takes. */
+  /** Since when requests for a heartbeat are unanswered, on this process's clock; undefined if none are. */
+  readonly unansweredSinceMs: Milliseconds | undefined;
+  /** Whether it reported that it has the configuration and the servers, which planning needs. */
   readonly canPlan: boolean;
-  /** Whether it said that its way to the store is broken; true until it has said otherwise. */
+  /** Whether it reported that it can't reach the store; true until it has reported otherwise. */
   readonly isStoreLost: boolean;
 }
 
-/** Without a word for this long, what a peer runs no longer counts. */
+/** A peer that sends nothing for this long is not alive, and its attempts no longer count. */
 const SILENT_AFTER_MS: Milliseconds = 2500;
-/** Hosts that read the store for all; a second one stands in at once when the first is gone. */
-const READERS = 2;
 /**
- * Hosts that are there but have lost the store are asked too, as one may be the first to have it
- * back; no more than these, so that an outage of the whole store does not make all ask all.
+ * Number of coordinators, and of hosts that read the store on behalf of all. With two of them, one
+ * takes over at once when the other fails.
  */
-const MOST_ASKED_IN_OUTAGE = 4;
+const COORDINATORS = 2;
 /**
- * Silent hosts that are asked at first, and as many more after each period in which too few
- * answered: a host that has started after the loss of all would else ask all others.
+ * Maximum number of live hosts that are queried while they can't reach the store. They are queried
+ * because one of them may be the first to reach it again; the bound keeps an outage of the whole
+ * store from making every host query every other.
  */
-const FIRST_REACH = 8;
-/** Hosts that know the attempts of a service: one plans, the other stands in. */
-const PLANNERS = 2;
-/** A host that has just started learns within a heartbeat or two what others run; until then it plans last. */
-const SETTLED_AFTER_MS: Milliseconds = 1200;
-/** A host that stood still and hears nobody for this long is taken to be alone; answers come within 50 ms. */
-const ALONE_AFTER_MS: Milliseconds = 500;
-/** A peer that is asked and stays silent still counts for shared budgets for this long. */
+const MAX_QUERIED_IN_OUTAGE = 4;
+/**
+ * Maximum number of silent hosts that are queried in the first period, and by which the maximum
+ * grows with each period without a live peer. Without it, a host that starts while all others are
+ * down would query all of them.
+ */
+const INITIAL_SILENT_QUERIES = 8;
+/** Hosts that track the attempts of a service: one plans, the other is its standby. */
+const PLANNERS_PER_SERVICE = 2;
+/**
+ * A host that has just started learns the attempts of others within one or two heartbeats; until
+ * then it ranks last among the planners.
+ */
+const PLANNER_WARM_UP_MS: Milliseconds = 1200;
+/**
+ * A host that hears from nobody for this long after it was suspended counts as isolated; answers
+ * arrive within 50 ms.
+ */
+const ISOLATED_AFTER_MS: Milliseconds = 500;
+/** A peer that does not answer requests for a heartbeat still counts in shared budgets for this long. */
 const FORGET_AFTER_MS: Milliseconds = 60_000;
 
 const NEVER_HEARD = {
@@ -58,71 +69,74 @@
   heardSinceMs: undefined,
   heardAtMs: undefined,
   lastSentAtMs: undefined,
-  askedSinceMs: undefined,
+  unansweredSinceMs: undefined,
   canPlan: false,
   isStoreLost: true,
 } as const;
 
-/** What a heartbeat says of its sender. */
-function saidBy({ sentAtMs, isStoreLost, capacity, availabilityZone, canPlan }: Beat) {
+/** The peer state that a heartbeat reports. */
+function reportedBy({ sentAtMs, isStoreLost, capacity, availabilityZone, canPlan }: Heartbeat) {
   return { lastSentAtMs: sentAtMs, isStoreLost, capacity, availabilityZone, canPlan };
 }
 
-/** The other hosts that were listed or heard, and which of them are there. */
+/** The other hosts that are listed in the store or were heard from, with their liveness and rank. */
 export class PeerList {
   readonly #peers = new Map<string, Peer>();
-  /** When this process started, or went on after it had stood still. */
+  /** When this process started, or resumed after it was suspended. */
   #startedAtMs: Milliseconds;
-  /** When it last went on after it had stood still. */
+  /** When it last resumed after it was suspended. */
   #pausedUntilMs: Milliseconds = Number.NEGATIVE_INFINITY;
-  /** Silent hosts that are asked in this period. */
-  #reach = 0;
-  /** How many hosts each peer has told that it knows. */
-  readonly #told = new Map<string, number>();
-  /** All hosts in their order; undefined after each change of who is known, how large and where. */
+  /** Maximum number of silent hosts that are queried in this period. */
+  #maxSilentQueries = 0;
+  /** Number of hosts that each peer reported to know, by host. */
+  readonly #reportedMemberCounts = new Map<string, number>();
+  /** All hosts in rank order; undefined after a change of the known hosts, their capacity or their zone. */
   #ranked: readonly PeerAddress[] | undefined;
 
   constructor(
     readonly clock: Clock,
     readonly self: PeerAddress,
-    /** Whether this host knows what planning takes. */
+    /** Whether this host has the configuration and the servers, which planning needs. */
     readonly canPlan: () => boolean,
   ) {
     this.#startedAtMs = clock.monotonicMs();
   }
 
-  /** This process stood still: others may have taken over from it, and what they run now it does not know. */
+  /**
+   * Called after this process was suspended: others may have taken over its roles, and it does not
+   * know the attempts that they run now.
+   */
   onPause(): void {
     this.#startedAtMs = this.clock.monotonicMs();
     this.#pausedUntilMs = this.#startedAtMs;
   }
 
-  /** Peers that count for shared budgets, alive or not. */
+  /** Number of peers that count in shared budgets, alive or not. */
   get size(): number {
     return this.#peers.size;
   }
 
-  /** Peers heard from lately. */
+  /** Peers heard from recently. */
   alive(): readonly Peer[] {
     return [...this.#peers.values()].filter((peer) => this.isAlive(peer));
   }
 
-  /** How many were heard from lately. */
+  /** Number of peers heard from recently. */
   get aliveCount(): number {
     return this.alive().length;
   }
 
-  /** In the order in which they became known; peers may be added and removed meanwhile. */
+  /** All peers, in the order in which they became known. Peers may be added and removed during iteration. */
   all(): Iterable<Peer> {
     return this.#peers.values();
   }
 
-  /** What is known of `host`; undefined where it was neither listed nor heard, or is removed. */
+  /** Returns undefined if `host` was neither listed nor heard from, or was removed. */
   find(host: string): Peer | undefined {
     return this.#peers.get(host);
   }
 
-  /** Adds a host that is listed; false where it was known. */
+  /** Adds a listed host. Returns false if it was known already. */
   add(address: PeerAddress): boolean {
     if (this.#peers.has(address.host)) return false;
     this.#peers.set(address.host, { ...NEVER_HEARD, ...address });
@@ -130,8 +144,8 @@
     return true;
   }
 
-  /** Notes a message that came from `address`; true where it is the first of its process. */
-  hear(message: PeerMessage, address: string): boolean {
+  /** Records a message received from `address`. Returns true if it is the first of its incarnation. */
+  recordMessage(message: PeerMessage, address: string): boolean {
     const { host, incarnation, port } = message;
     const nowMs = this.clock.monotonicMs();
     const listed = this.#peers.get(host);
@@ -146,9 +160,9 @@
       heardSinceMs: isNew ? nowMs : known.heardSinceMs,
       heardAtMs: nowMs,
       lastSentAtMs: isNew ? undefined : known.lastSentAtMs,
-      askedSinceMs: undefined,
+      unansweredSinceMs: undefined,
     };
-    const next = message.kind === 'beat' ? { ...heard, ...saidBy(message) } : heard;
+    const next = message.kind === 'beat' ? { ...heard, ...reportedBy(message) } : heard;
     this.#peers.set(host, next);
     const isRankKept =
       next.capacity === known.capacity && next.availabilityZone === known.availabilityZone;
@@ -156,119 +170,126 @@
     return isNew;
   }
 
-  /** Notes which peers are asked for heartbeats now; the others owe none. */
-  noteAsked(hosts: ReadonlySet<string>): void {
+  /** Records which peers are asked for a heartbeat now; none is expected from the others. */
+  recordQueried(hosts: ReadonlySet<string>): void {
     const nowMs = this.clock.monotonicMs();
     for (const peer of this.#peers.values()) {
-      const askedSinceMs = hosts.has(peer.host) ? (peer.askedSinceMs ?? nowMs) : undefined;
-      if (askedSinceMs !== peer.askedSinceMs) this.#peers.set(peer.host, { ...peer, askedSinceMs });
+      const unansweredSinceMs = hosts.has(peer.host)
+        ? (peer.unansweredSinceMs ?? nowMs)
+        : undefined;
+      if (unansweredSinceMs !== peer.unansweredSinceMs)
+        this.#peers.set(peer.host, { ...peer, unansweredSinceMs });
     }
   }
 
-  /** Forgets `host`; nothing where it is not known. */
+  /** Removes `host`; does nothing if it is not known. */
   remove(host: string): void {
     this.#peers.delete(host);
-    this.#told.delete(host);
+    this.#reportedMemberCounts.delete(host);
     this.#ranked = undefined;
   }
 
-  /** Whether it was heard lately, so that what it runs counts. */
+  /** Whether the peer was heard from recently, so that its attempts count. */
   isAlive({ heardAtMs }: Peer): boolean {
     if (heardAtMs === undefined) return false;
     return this.clock.monotonicMs() - heardAtMs < SILENT_AFTER_MS;
   }
 
-  /** Whether it was asked and silent for so long that it counts for nothing. */
-  isForgotten({ askedSinceMs }: Peer): boolean {
-    if (askedSinceMs === undefined) return false;
-    return this.clock.monotonicMs() - askedSinceMs > FORGET_AFTER_MS;
+  /** Whether the peer has left requests unanswered for so long that it no longer counts at all. */
+  isForgotten({ unansweredSinceMs }: Peer): boolean {
+    if (unansweredSinceMs === undefined) return false;
+    return this.clock.monotonicMs() - unansweredSinceMs > FORGET_AFTER_MS;
   }
 
-  /** How many hosts a peer has told of lately, or are known here if that is more. */
+  /** The largest number of hosts that this host or any of its peers knows, each itself included. */
   get memberCount(): number {
-    return Math.max(this.size + 1, ...this.#told.values());
+    return Math.max(this.size + 1, ...this.#reportedMemberCounts.values());
   }
 
-  /** Notes how many hosts `host` knows. */
-  noteMembers(host: string, count: number): void {
-    this.#told.set(host, count);
+  /** Records how many hosts `host` reports to know. */
+  recordMemberCount(host: string, count: number): void {
+    this.#reportedMemberCounts.set(host, count);
   }
 
   /**
-   * Whether `host`, which has a sound way to the store, is one of the few that read it for all. Where
-   * many that come before it have lost the store, the store itself is away, and those try again for all.
+   * Whether `host`, which must be able to reach the store, is one of the few that read it on behalf
+   * of all. If many live hosts ranked before it can't reach the store, the store itself is down, and
+   * those hosts retry it for all.
    */
-  isAmongReaders(host: string): boolean {
-    const before = this.#aliveBefore(host);
-    if (before.length >= MOST_ASKED_IN_OUTAGE) return false;
-    return before.filter(({ isStoreLost }) => !isStoreLost).length < READERS;
+  isStoreReader(host: string): boolean {
+    const before = this.#aliveRankedBefore(host);
+    if (before.length >= MAX_QUERIED_IN_OUTAGE) return false;
+    return before.filter(({ isStoreLost }) => !isStoreLost).length < COORDINATORS;
   }
 
-  /** Whether this host is one of the first of all that are known, there or not. */
-  isFirstByRank(): boolean {
-    return this.#byRank().slice(0, READERS).includes(this.self);
+  /** Whether this host ranks among the first of all known hosts, alive or not. */
+  isTopRanked(): boolean {
+    return this.#byRank().slice(0, COORDINATORS).includes(this.self);
   }
 
-  /** The first hosts that are there, this one left out. */
-  firstOfAll(): readonly Peer[] {
-    const firsts: Peer[] = [];
+  /** The highest-ranked live hosts except this one. */
+  highestRankedPeers(): readonly Peer[] {
+    const highest: Peer[] = [];
     for (const { host } of this.#byRank()) {
       const peer = this.#peers.get(host);
-      if (peer && this.isAlive(peer)) firsts.push(peer);
-      if (firsts.length === READERS) break;
+      if (peer && this.isAlive(peer)) highest.push(peer);
+      if (highest.length === COORDINATORS) break;
     }
-    return firsts;
+    return highest;
   }
 
-  /** How many hosts that are there come before this one. */
+  /** Rank of this host: the number of live hosts ranked before it. */
   get place(): number {
-    return this.#aliveBefore(this.self.host).length;
+    return this.#aliveRankedBefore(this.self.host).length;
   }
 
-  /** Whether this host is one of the first that are there, whatever they know of the store. */
-  isAmongFirst(): boolean {
-    return this.place < READERS;
+  /** Whether this host is a coordinator: one of the highest-ranked live hosts, whether or not it can reach the store. */
+  isCoordinator(): boolean {
+    return this.place < COORDINATORS;
   }
 
   /**
-   * How many hosts that are there come before this one, of the few that are asked in an outage;
-   * beyond those its place among all that are known.
+   * Number of hosts that retry an unavailable store before this one: 0 for the few live hosts that
+   * are queried in an outage; for others derived from the rank among all known hosts.
    */
   get turn(): number {
-    const before = this.#aliveBefore(this.self.host).length;
-    if (before < MOST_ASKED_IN_OUTAGE) return 0;
+    const before = this.#aliveRankedBefore(this.self.host).length;
+    if (before < MAX_QUERIED_IN_OUTAGE) return 0;
     const place = this.#byRank().findIndex(({ host }) => host === this.self.host);
-    return Math.max(0, place - MOST_ASKED_IN_OUTAGE + 1);
+    return Math.max(0, place - MAX_QUERIED_IN_OUTAGE + 1);
   }
 
-  /** The first host of each availability zone that is there, this host's own zone left out. */
-  firstOfOtherZones(): readonly Peer[] {
-    const firsts = new Map<string, Peer>();
+  /**
+   * For each availability zone except this host's own, the host that forwards messages within it: the
+   * highest-ranked live one, or the highest-ranked one if none is alive.
+   */
+  otherZoneForwarders(): readonly Peer[] {
+    const forwarders = new Map<string, Peer>();
     for (const { host } of this.#byRank()) {
       const peer = this.#peers.get(host);
       if (!peer || peer.availabilityZone === this.self.availabilityZone) continue;
-      const known = firsts.get(peer.availabilityZone);
+      const known = forwarders.get(peer.availabilityZone);
       if (!known || (!this.isAlive(known) && this.isAlive(peer)))
-        firsts.set(peer.availabilityZone, peer);
+        forwarders.set(peer.availabilityZone, peer);
     }
-    return [...firsts.values()];
+    return [...forwarders.values()];
   }
 
-  /** Whether this host is the first of its availability zone, of all that are known, there or not. */
-  isFirstOfOwnZone(): boolean {
+  /** Whether this host is the highest-ranked known host of its availability zone, counting those not alive. */
+  isOwnZoneForwarder(): boolean {
     const { availabilityZone, host } = this.self;
-    const first = this.#byRank().find((peer) => peer.availabilityZone === availabilityZone);
-    return first?.host === host;
+    const forwarder = this.#byRank().find((peer) => peer.availabilityZone === availabilityZone);
+    return forwarder?.host === host;
   }
 
-  /** Known hosts of this host's availability zone, itself left out. */
-  inOwnZone(): readonly Peer[] {
+  /** Known peers in this host's availability zone. */
+  ownZonePeers(): readonly Peer[] {
     const { availabilityZone } = this.self;
     return [...this.#peers.values()].filter((peer) => peer.availabilityZone === availabilityZone);
   }
 
-  /** Peers that are there and come before `host`. */
-  #aliveBefore(host: string): readonly Peer[] {
+  /** Live peers ranked before `host`. */
+  #aliveRankedBefore(host: string): readonly Peer[] {
     const before: Peer[] = [];
     for (const ranked of this.#byRank()) {
       if (ranked.host === host) break;
@@ -278,83 +299,90 @@
     return before;
   }
 
-  /** Known hosts that are silent; one that has started anew may know nobody. */
+  /** Known peers that are not alive. One that has just restarted may know no other host. */
   silent(): readonly Peer[] {
     return [...this.#peers.values()].filter((peer) => !this.isAlive(peer));
   }
 
   /**
-   * Hosts that know what runs on a service's engines, the one that plans first; maybe this one.
-   * `place`: of the service among all that are planned for, so that each has planners of its own.
+   * Hosts that track the attempts on a service's engines, the one that plans first; may include this
+   * host. `place`: index of the service among all planned services, so that each has its own planners.
    */
   plannersOf(place: number): readonly string[] {
-    const settled: string[] = [];
+    const ready: string[] = [];
     const others: string[] = [];
-    for (const peer of this.#fromPlace(place)) {
-      if (!this.#isHere(peer)) continue;
-      if (this.#isSettled(peer)) settled.push(peer.host);
+    for (const peer of this.#rotatedTo(place)) {
+      if (!this.#isPresent(peer)) continue;
+      if (this.#isReadyToPlan(peer)) ready.push(peer.host);
       else others.push(peer.host);
-      if (settled.length >= PLANNERS) break;
+      if (ready.length >= PLANNERS_PER_SERVICE) break;
     }
-    return [...settled, ...others].slice(0, PLANNERS);
+    return [...ready, ...others].slice(0, PLANNERS_PER_SERVICE);
   }
 
   /**
-   * Peers that this host has to hear of: the first readers and planners of all services that are
-   * there, and all those before them, as they may come back.
+   * Peers from which this host needs heartbeats: the live store readers, the live planners of all
+   * services, and all hosts ranked before those, as they may come back.
    */
-  toAsk(services: number): ReadonlySet<string> {
-    const asked = new Set<string>();
-    if (this.size === 0) return asked;
-    this.#reach = this.aliveCount > 0 ? FIRST_REACH : this.#reach + FIRST_REACH;
-    const isReader = (peer: PeerAddress) => this.#isHere(peer) && !this.#isStoreLost(peer);
-    this.#askUntil(this.#byRank(), READERS, isReader, asked);
+  peersToQuery(services: number): ReadonlySet<string> {
+    const queried = new Set<string>();
+    if (this.size === 0) return queried;
+    this.#maxSilentQueries =
+      this.aliveCount > 0
+        ? INITIAL_SILENT_QUERIES
+        : this.#maxSilentQueries + INITIAL_SILENT_QUERIES;
+    const isReader = (peer: PeerAddress) => this.#isPresent(peer) && !this.#isStoreLost(peer);
+    this.#queryUntil(this.#byRank(), COORDINATORS, isReader, queried);
     for (let place = 0; place < services; place += 1) {
-      const isPlanner = (peer: PeerAddress) => this.#isHere(peer) && this.#isSettled(peer);
-      this.#askUntil(this.#fromPlace(place), PLANNERS, isPlanner, asked);
+      const isPlanner = (peer: PeerAddress) => this.#isPresent(peer) && this.#isReadyToPlan(peer);
+      this.#queryUntil(this.#rotatedTo(place), PLANNERS_PER_SERVICE, isPlanner, queried);
     }
-    asked.delete(this.self.host);
-    return asked;
+    queried.delete(this.self.host);
+    return queried;
   }
 
-  #askUntil(
+  #queryUntil(
     ranked: readonly PeerAddress[],
     wanted: number,
-    counts: (peer: PeerAddress) => boolean,
-    asked: Set<string>,
+    qualifies: (peer: PeerAddress) => boolean,
+    queried: Set<string>,
   ): void {
     let found = 0;
-    let here = 0;
+    let present = 0;
     let silent = 0;
     for (const peer of ranked) {
-      if (found >= wanted || here >= MOST_ASKED_IN_OUTAGE || silent >= this.#reach) return;
-      asked.add(peer.host);
-      if (counts(peer)) found += 1;
-      if (this.#isHere(peer)) here += 1;
+      if (found >= wanted || present >= MAX_QUERIED_IN_OUTAGE || silent >= this.#maxSilentQueries)
+        return;
+      queried.add(peer.host);
+      if (qualifies(peer)) found += 1;
+      if (this.#isPresent(peer)) present += 1;
       else silent += 1;
     }
   }
 
-  #isHere({ host }: PeerAddress): boolean {
-    if (host === this.self.host) return !this.#isUninformed();
+  #isPresent({ host }: PeerAddress): boolean {
+    if (host === this.self.host) return !this.#isStaleAfterPause();
     const peer = this.#peers.get(host);
     return peer !== undefined && this.isAlive(peer);
   }
 
-  /** Whether this process stood still, and has heard nobody since though others are known. */
-  #isUninformed(): boolean {
+  /**
+   * Whether this process knows peers, but has heard from none since it was suspended. False once it
+   * counts as isolated.
+   */
+  #isStaleAfterPause(): boolean {
     const sinceMs = this.#pausedUntilMs;
-    if (this.size === 0 || this.clock.monotonicMs() - sinceMs > ALONE_AFTER_MS) return false;
+    if (this.size === 0 || this.clock.monotonicMs() - sinceMs > ISOLATED_AFTER_MS) return false;
     return ![...this.#peers.values()].some(({ heardAtMs }) => (heardAtMs ?? -Infinity) > sinceMs);
   }
 
-  /** Whether a host knows what planning takes, and what others run. */
-  #isSettled({ host }: PeerAddress): boolean {
+  /** Whether a host has what planning needs, and has had the time to learn the attempts of others. */
+  #isReadyToPlan({ host }: PeerAddress): boolean {
     const peer = this.#peers.get(host);
     const isSelf = host === this.self.host;
     const sinceMs = isSelf ? this.#startedAtMs : peer?.heardSinceMs;
     if (sinceMs === undefined || !(isSelf ? this.canPlan() : peer?.canPlan)) return false;
-    return this.clock.monotonicMs() - sinceMs > SETTLED_AFTER_MS;
+    return this.clock.monotonicMs() - sinceMs > PLANNER_WARM_UP_MS;
   }
 
   #isStoreLost({ host }: PeerAddress): boolean {
@@ -366,10 +394,10 @@
     return this.#ranked;
   }
 
-  /** All hosts, from those on that plan for the service at `place`; the first ones come last. */
-  #fromPlace(place: number): readonly PeerAddress[] {
+  /** All hosts in rank order, rotated so that the planners of the service at index `place` come first. */
+  #rotatedTo(place: number): readonly PeerAddress[] {
     const ranked = this.#byRank();
-    const from = (place * PLANNERS) % ranked.length;
+    const from = (place * PLANNERS_PER_SERVICE) % ranked.length;
     return from === 0 ? ranked : [...ranked.slice(from), ...ranked.slice(0, from)];
   }
 }
--- a/packages/relay/src/peers/peer-mesh-at-size.test.ts
+++ b/packages/relay/src/peers/peer-mesh-at-size.test.ts
@@ -6,8 +6,9 @@
 const PORTS = [1, 2, 3, 4, 5];
 
 describe('PeerMesh of many hosts', () => {
-  // 12,744 messages in the first second before, as each greeted all others; 1,952 after.
-  it('does not let all greet all when they start together, and still has all find the same first hosts', async () => {
+  // If each host sends a heartbeat to all others at its start, 12,744 messages are sent in the first second, instead of
+  // 1,952.
+  it('does not send heartbeats from all to all at a common start, and all agree on the planner', async () => {
     const network = new MeshNetwork();
     const ports = Array.from({ length: 60 }, (_unused, index) => index + 101);
     let sent = 0;
@@ -15,7 +16,7 @@
       sent += 1;
       return false;
     };
-    // Each knows those that have entered before it, as the store lists them.
+    // Each host knows those whose entries were written before its own, as the store lists them.
     ports.forEach((port, index) => network.start(port, ports.slice(0, index + 1)));
     await network.run(1000);
     expect(sent).toBeLessThan(12_744 / 6);
@@ -28,8 +29,8 @@
     expect(Math.min(...counts)).toBe(60);
   });
 
-  // Out of one host: before, as many copies of the whole list as there are hosts, 11 KB each.
-  it('sends a change of the list out of no host more than its zone needs, and to each host once', async () => {
+  // If the store reader sent the whole list to all, one host would send as many copies of 11 KB as there are hosts.
+  it('sends a server list delta to each host once, with no host sending more than its zone needs', async () => {
     const network = new MeshNetwork();
     network.zones = 5;
     const ports = Array.from({ length: 100 }, (_unused, index) => index + 101);
@@ -55,11 +56,11 @@
       expect(list.digest).toBe(reader?.list.digest);
     }
     expect(Math.max(...bytesBy.values())).toBeLessThan(60 * 1024);
-    const whole = [...bytesBy.values()].reduce((sum, bytes) => sum + bytes, 0);
-    expect(whole).toBeLessThan(100 * 1024);
+    const totalBytes = [...bytesBy.values()].reduce((sum, bytes) => sum + bytes, 0);
+    expect(totalBytes).toBeLessThan(100 * 1024);
   });
 
-  it('brings a long configuration to a host that lost pieces of it, without the store', async () => {
+  it('delivers a long configuration to hosts that lost fragments of it, without the store', async () => {
     const network = new MeshNetwork();
     for (const port of PORTS) network.start(port, PORTS);
     await network.run(1000);
@@ -70,12 +71,12 @@
       ),
     );
     const newest = { ...CONFIGURATION, version: 2 };
-    const heard: number[] = [];
-    for (const { inForce, syncState: knowledge } of network.hosts.values()) {
-      knowledge.onConfigurationReceived((bytes) => {
-        heard.push(bytes.length);
-        inForce.apply(newest);
-        knowledge.onConfigurationActivated(bytes);
+    const received: number[] = [];
+    for (const { activeConfiguration, syncState } of network.hosts.values()) {
+      syncState.onConfigurationReceived((bytes) => {
+        received.push(bytes.length);
+        activeConfiguration.apply(newest);
+        syncState.onConfigurationActivated(bytes);
       });
     }
     let told = 0;
@@ -84,38 +85,38 @@
       return message.kind === 'told' && told % 4 === 1 && told < 30;
     };
     const reader = network.hosts.get(1);
-    reader?.inForce.apply(newest);
+    reader?.activeConfiguration.apply(newest);
     reader?.syncState.onConfigurationActivated(long);
     reader?.mesh.publishStoreState();
     await network.run(2500);
-    expect(heard).toEqual([long.length, long.length, long.length, long.length]);
-    for (const { syncState: knowledge } of network.hosts.values()) {
-      expect(knowledge.isConfigurationBehind).toBe(false);
+    expect(received).toEqual([long.length, long.length, long.length, long.length]);
+    for (const { syncState } of network.hosts.values()) {
+      expect(syncState.isConfigurationBehind).toBe(false);
     }
   });
 
-  it('lets a host that has started serve as soon as it is told what holds, not a heartbeat later', async () => {
+  it('lets a started host serve as soon as it has received the configuration, not one heartbeat later', async () => {
     const network = new MeshNetwork();
     for (const port of PORTS.slice(0, 4)) {
-      const { freshness, inForce, syncState: knowledge } = network.start(port, PORTS);
-      inForce.apply({ ...CONFIGURATION, version: 2 });
-      knowledge.onConfigurationActivated(Buffer.from('as it is kept'));
+      const { freshness, activeConfiguration, syncState } = network.start(port, PORTS);
+      activeConfiguration.apply({ ...CONFIGURATION, version: 2 });
+      syncState.onConfigurationActivated(Buffer.from('as it is kept'));
       freshness.confirm(0);
     }
     await network.run(1200);
     for (const { freshness, startedAtMs } of network.hosts.values()) {
       freshness.confirm(network.clock.monotonicMs() - startedAtMs);
     }
-    const { syncState: knowledge, inForce } = network.start(5, PORTS);
-    knowledge.onConfigurationReceived(() => {
-      inForce.apply({ ...CONFIGURATION, version: 2 });
+    const { syncState, activeConfiguration } = network.start(5, PORTS);
+    syncState.onConfigurationReceived(() => {
+      activeConfiguration.apply({ ...CONFIGURATION, version: 2 });
     });
     await network.run(50);
-    expect(inForce.version).toBe(2);
-    expect(knowledge.configurationAgeMs).toBeLessThan(200);
+    expect(activeConfiguration.version).toBe(2);
+    expect(syncState.configurationAgeMs).toBeLessThan(200);
   });
 
-  it('says that a host is gone for good once it has left and not come back, and that none is that came', async () => {
+  it('reports a host that has left and not come back as permanently gone, and no host that has come back', async () => {
     const network = new MeshNetwork();
     for (const port of PORTS) network.start(port, PORTS);
     await network.run(2000);
--- a/packages/relay/src/peers/peer-mesh.test.ts
+++ b/packages/relay/src/peers/peer-mesh.test.ts
@@ -3,10 +3,10 @@
 import fc from 'fast-check';
 import { pack } from 'msgpackr';
 import { describe, expect, it } from 'vitest';
-import { unpackList } from './list-on-the-wire.js';
+import { decodeList } from './server-wire-format.js';
 import { CONFIGURATION, ENGINE, MeshNetwork } from './mocks/mesh-network.js';
-import type { Sent } from './mocks/mesh-network.js';
-import { packBytes } from './packed-bytes.js';
+import type { SentMessage } from './mocks/mesh-network.js';
+import { compressBytes } from './byte-encoding.js';
 import { decodeMessage } from './peer-messages.js';
 
 const PORTS = [1, 2, 3, 4, 5];
@@ -28,7 +28,7 @@
 }
 
 describe('PeerMesh', () => {
-  it('lets two hosts read the store for all, and others when those have lost it', async () => {
+  it('lets two hosts read the store for all, and others when those cannot reach it', async () => {
     const network = new MeshNetwork();
     for (const port of PORTS) network.start(port, PORTS);
     const readers = () => PORTS.filter((port) => network.hosts.get(port)?.mesh.isReader());
@@ -44,7 +44,7 @@
     expect(readers().filter((port) => port !== 2)).toEqual([1, 3]);
   });
 
-  it('tells what it runs, mends what was lost with a beat, and drops it with its host', async () => {
+  it('reports its attempts, repairs a lost message by a heartbeat, and drops those of a host that leaves', async () => {
     const network = new MeshNetwork();
     const first = network.start(1, [2]);
     const second = network.start(2, [1]);
@@ -62,7 +62,7 @@
     expect(second.fleet.size).toBe(0);
   });
 
-  it('counts hosts for shared budgets for a while after their last word', async () => {
+  it('counts hosts in shared budgets for a while after their last message', async () => {
     const network = new MeshNetwork();
     const first = network.start(1, [2]);
     network.start(2, [1]);
@@ -75,7 +75,7 @@
     expect(first.mesh.hostCount).toBe(1);
   });
 
-  it('asks only the few that read and plan, and finds others when those are gone', async () => {
+  it('queries only the few hosts that read and plan, and finds others when those are gone', async () => {
     const network = new MeshNetwork();
     for (const port of PORTS) network.start(port, PORTS);
     await network.run(3000);
@@ -103,7 +103,7 @@
     expect(others).not.toContain(planner);
   });
 
-  it('asks no planner that does not know the servers yet', async () => {
+  it('selects no planner that does not know the servers yet', async () => {
     const network = new MeshNetwork();
     network.lost = (message) => message.kind === 'told';
     for (const port of PORTS) network.start(port, PORTS, port === 4);
@@ -113,14 +113,14 @@
     }
   });
 
-  it('spends nothing of shared budgets before it knows how many share them', () => {
+  it('reports an infinite number of hosts that share budgets until it knows the members', () => {
     const { mesh } = new MeshNetwork().start(1, []);
     expect(mesh.hostCount).toBe(1);
     const unlisted = new MeshNetwork().start(1, [], true, false);
     expect(unlisted.mesh.hostCount).toBe(Number.POSITIVE_INFINITY);
   });
 
-  it('tells all a changed list of servers, so that they need not ask the store', async () => {
+  it('sends a changed server list to all hosts, so that they need not read the store', async () => {
     const network = new MeshNetwork();
     for (const port of PORTS) network.start(port, PORTS);
     await network.run(1000);
@@ -128,31 +128,31 @@
     reader?.list.replace([ENGINE, { ...ENGINE, id: 'i-2', isDraining: true }], 0, 2);
     reader?.mesh.publishStoreState();
     await network.run(50);
-    for (const { list, syncState: knowledge } of network.hosts.values()) {
+    for (const { list, syncState } of network.hosts.values()) {
       expect(list.digest).toBe(reader?.list.digest);
-      expect(knowledge.isListBehind).toBe(false);
+      expect(syncState.isListBehind).toBe(false);
     }
   });
 
-  it('tells all that a listed server has started again', async () => {
+  it('informs all hosts that a listed server has restarted', async () => {
     const network = new MeshNetwork();
     for (const port of PORTS) network.start(port, PORTS);
     await network.run(1000);
-    const begun: (number | undefined)[] = [];
+    const reportedStartTimes: (number | undefined)[] = [];
     for (const { list } of network.hosts.values()) {
-      list.onNewIncarnation(({ startedAtMs: bornMs }) => begun.push(bornMs));
+      list.onNewIncarnation(({ startedAtMs }) => reportedStartTimes.push(startedAtMs));
     }
     const reader = network.hosts.get(1);
     reader?.list.replace([{ ...ENGINE, port: 2, startedAtMs: 7 }], 0, 2);
     reader?.mesh.publishStoreState();
     await network.run(50);
-    expect(begun).toEqual(PORTS.map(() => 7));
+    expect(reportedStartTimes).toEqual(PORTS.map(() => 7));
     for (const { list } of network.hosts.values()) {
       expect(list.available(ENGINE_SERVICE)).toEqual([{ ...ENGINE, port: 2, startedAtMs: 7 }]);
     }
   });
 
-  it('tells planners that another server has the address of a listed one, until its next life', async () => {
+  it('informs planners that another server has the address of a listed one, until its next incarnation', async () => {
     const network = new MeshNetwork();
     for (const port of PORTS) network.start(port, PORTS);
     await network.run(1000);
@@ -172,11 +172,11 @@
     for (const port of PORTS) expect(known(port)).toHaveLength(1);
   });
 
-  it('takes in the other servers of a list beside one that can not be used', () => {
+  it('accepts the valid servers of a list with invalid ones', () => {
     const wire = (id: string, port: unknown) => [id, 's', 'a', port, 'z', 1, false, null];
     const rows = [wire('i-1', 1), wire('i-2', 0), wire('i-3', '80'), 'nothing', wire('i-4', 2)];
-    const list = packBytes(pack({ version: 3, graceMs: 0, servers: rows }));
-    expect(unpackList(list)?.servers.map(({ id }) => id)).toEqual(['i-1', 'i-4']);
+    const list = compressBytes(pack({ version: 3, graceMs: 0, servers: rows }));
+    expect(decodeList(list)?.servers.map(({ id }) => id)).toEqual(['i-1', 'i-4']);
     const change = { kind: 'list_change', host: 'h', incarnation: 'l', port: 1, fromDigest: 'a' };
     const more = { digest: 'b', version: 4, graceMs: 0, servers: rows, goneIds: [], passOn: false };
     const message = decodeMessage(pack({ ...change, ...more }));
@@ -186,31 +186,32 @@
     ]);
   });
 
-  it('tells all a new configuration as the store keeps it', async () => {
+  it('sends a new configuration to all hosts as the store keeps it', async () => {
     const network = new MeshNetwork();
     for (const port of PORTS) network.start(port, PORTS);
     await network.run(1000);
-    const heard: string[] = [];
+    const received: string[] = [];
     const last = network.hosts.get(5);
-    last?.syncState.onConfigurationReceived((bytes) => heard.push(bytes.toString()));
+    last?.syncState.onConfigurationReceived((bytes) => received.push(bytes.toString()));
     const reader = network.hosts.get(1);
-    reader?.inForce.apply({ ...CONFIGURATION, version: 2 });
+    reader?.activeConfiguration.apply({ ...CONFIGURATION, version: 2 });
     reader?.syncState.onConfigurationActivated(Buffer.from('as it is kept'));
     reader?.mesh.publishStoreState();
     await network.run(50);
-    expect(heard).toEqual(['as it is kept']);
+    expect(received).toEqual(['as it is kept']);
     expect(last?.syncState.isConfigurationBehind).toBe(true);
   });
 
-  it('is not sent to the store by a reader that knows an older list', async () => {
+  it('does not make hosts read the store when a store reader reports an older list', async () => {
     const network = new MeshNetwork();
     for (const port of PORTS) network.start(port, PORTS);
     await network.run(1000);
     const [first, second] = [network.hosts.get(1), network.hosts.get(2)];
     first?.list.replace([ENGINE, { ...ENGINE, id: 'i-2' }], 0, 2);
     first?.mesh.publishStoreState();
-    const isNewsToSecond = ({ to, message }: Sent) => to === 2 && message.kind === 'list_change';
-    const lost = network.sent.findIndex(isNewsToSecond);
+    const isDeltaToSecond = ({ to, message }: SentMessage) =>
+      to === 2 && message.kind === 'list_change';
+    const lost = network.sent.findIndex(isDeltaToSecond);
     expect(lost).toBeGreaterThanOrEqual(0);
     network.sent.splice(lost, 1);
     for (let round = 0; round < 3; round += 1) {
@@ -222,53 +223,53 @@
     expect(network.hosts.get(5)?.syncState.isListBehind).toBe(false);
   });
 
-  it('tells a host that has started while the store is away, and that knows nobody, all it needs', async () => {
+  it('sends a host that has started during a store outage, and knows no peers, all that it needs', async () => {
     const network = new MeshNetwork();
     for (const port of PORTS) network.start(port, PORTS);
     await network.run(1000);
     const newest = { ...CONFIGURATION, version: 2 };
-    for (const { inForce, syncState: knowledge } of network.hosts.values()) {
-      inForce.apply(newest);
-      knowledge.onConfigurationActivated(Buffer.from('as it is kept'));
-      knowledge.onStoreFailure();
+    for (const { activeConfiguration, syncState } of network.hosts.values()) {
+      activeConfiguration.apply(newest);
+      syncState.onConfigurationActivated(Buffer.from('as it is kept'));
+      syncState.onStoreFailure();
     }
     network.hosts.delete(5);
     await network.run(2500);
     const started = network.start(5, [], false, false);
-    const heard: string[] = [];
+    const received: string[] = [];
     started.syncState.onConfigurationReceived((bytes) => {
-      heard.push(bytes.toString());
-      started.inForce.apply(newest);
+      received.push(bytes.toString());
+      started.activeConfiguration.apply(newest);
     });
     await network.run(1500);
-    expect(heard[0]).toBe('as it is kept');
+    expect(received[0]).toBe('as it is kept');
     expect(started.list.isKnown).toBe(true);
     expect(started.syncState.isConfigurationBehind).toBe(false);
     expect(started.mesh.aliveCount).toBeGreaterThan(0);
   });
 
-  it('does not let all hosts ask all while the store is away from every one', async () => {
+  it('does not make all hosts query all others while none of them can reach the store', async () => {
     const network = new MeshNetwork();
     const ports = Array.from({ length: 30 }, (_unused, index) => index + 1);
     for (const port of ports) network.start(port, ports);
     await network.run(1000);
     for (let round = 0; round < 4; round += 1) {
-      for (const { syncState: knowledge } of network.hosts.values()) knowledge.onStoreFailure();
+      for (const { syncState } of network.hosts.values()) syncState.onStoreFailure();
       await network.run(500);
     }
     network.sent.length = 0;
     await network.clock.advance(500);
-    const asked = network.sent.filter(({ from }) => from === 'host-30').map(({ to }) => to);
-    expect(new Set(asked).size).toBeLessThanOrEqual(10);
+    const queried = network.sent.filter(({ from }) => from === 'host-30').map(({ to }) => to);
+    expect(new Set(queried).size).toBeLessThanOrEqual(10);
     expect(network.hosts.get(30)?.mesh.aliveCount).toBeGreaterThan(0);
   });
 
-  it('plans for the host that asks, and tells it', async () => {
+  it('plans for a host that requests it, and sends it the answer', async () => {
     const network = new MeshNetwork();
     for (const port of [1, 2]) network.start(port, [1, 2]);
     await network.run(3000);
-    const asking = network.hosts.get(1);
-    asking?.mesh.askPlan('host-2', {
+    const requester = network.hosts.get(1);
+    requester?.mesh.askPlan('host-2', {
       attemptId: 'a',
       requestId: 'r',
       host: 'host-1',
@@ -287,16 +288,16 @@
       excludedIds: [],
     });
     await network.run(50);
-    expect(asking?.answers).toMatchObject([
+    expect(requester?.answers).toMatchObject([
       { attemptId: 'a', answer: { kind: 'place', stream: { writerId: 'i-1' } } },
     ]);
     expect(network.hosts.get(2)?.fleet.attemptsOf('host-1')).toHaveLength(1);
-    asking?.mesh.withdrawPlan('host-2', 'a');
+    requester?.mesh.withdrawPlan('host-2', 'a');
     await network.run(50);
     expect(network.hosts.get(2)?.fleet.attemptsOf('host-1')).toHaveLength(0);
   });
 
-  it('never proves more than its peer knew, with messages late, lost, and lives that change', () => {
+  it('never confirms state as more recent than its peer knows it, with late and lost messages and restarts', () => {
     const step = fc.oneof(
       {
         weight: 4,
@@ -312,22 +313,22 @@
         const network = new MeshNetwork();
         const reader = network.start(1, [2]);
         let other = network.start(2, [1]);
-        let provedAtMs = Number.NEGATIVE_INFINITY;
+        let confirmedAtMs = Number.NEGATIVE_INFINITY;
         for (const { kind, ms } of steps) {
           if (kind === 'pass') await network.clock.advance(ms);
           if (kind === 'deliver' && network.sent.length > 0)
             network.deliver(ms % network.sent.length);
           if (kind === 'lose') network.sent.splice(ms, 1);
           if (kind === 'prove') {
-            provedAtMs = network.clock.monotonicMs();
-            reader.freshness.confirm(provedAtMs - reader.startedAtMs);
+            confirmedAtMs = network.clock.monotonicMs();
+            reader.freshness.confirm(confirmedAtMs - reader.startedAtMs);
           }
           if (kind === 'restart') {
             other.mesh.stop();
             other = network.start(2, [1]);
           }
           const knownAtMs = network.clock.monotonicMs() - other.freshness.ageMs();
-          expect(knownAtMs).toBeLessThanOrEqual(provedAtMs);
+          expect(knownAtMs).toBeLessThanOrEqual(confirmedAtMs);
         }
       }),
       { numRuns: 300, seed: 9 },
