--- a/packages/fleet/src/content-id.ts
+++ b/packages/fleet/src/content-id.ts
@@ -1,7 +1,7 @@
 import { createHash } from 'node:crypto';
 
 /** So many characters of a name are known without reading the body of a request. */
-const HINT_LENGTH = 6;
+const PREFIX_LENGTH = 6;
 /** 96 bits in base64url: no two requests of a fleet get the same by chance. */
 const DIGEST_LENGTH = 16;
 
@@ -13,8 +13,8 @@
 }
 
 /** The part of a name that `ContentId` tells without the body. */
-export function hintOf(content: string): string {
-  return content.slice(0, HINT_LENGTH);
+export function prefixOf(content: string): string {
+  return content.slice(0, PREFIX_LENGTH);
 }
 
 /**
@@ -23,21 +23,21 @@
  * asked for, as hashing a body of a megabyte takes 1.5 ms.
  */
 export class ContentId {
-  #hint: string | undefined;
-  #whole: string | undefined;
+  #prefix: string | undefined;
+  #full: string | undefined;
 
   constructor(readonly content: RequestContent) {}
 
   /** The first characters of the name, which the body has no part in. */
-  get hint(): string {
-    this.#hint ??= hintOf(this.#hash().digest('base64url'));
-    return this.#hint;
+  get prefix(): string {
+    this.#prefix ??= prefixOf(this.#hash().digest('base64url'));
+    return this.#prefix;
   }
 
   /** The whole name. */
-  get whole(): string {
-    this.#whole ??= this.hint + this.#digest();
-    return this.#whole;
+  get full(): string {
+    this.#full ??= this.prefix + this.#digest();
+    return this.#full;
   }
 
   #digest(): string {
--- a/packages/fleet/src/engine-load.ts
+++ b/packages/fleet/src/engine-load.ts
@@ -3,7 +3,7 @@
 import type { AttemptUse } from './attempt-use.js';
 import type { BackendServer } from './backend-server.js';
 import { passTimeMs } from './engine-times.js';
-import { streamWorth } from './stream-worth.js';
+import { streamValue } from './stream-worth.js';
 
 /** What is believed about one engine at one moment. */
 export interface EngineLoad {
@@ -31,21 +31,21 @@
 }
 
 /** Part of the allowed pause that is planned with; the rest covers what was not foreseen. */
-const GAP_SHARE_PLANNED = 0.85;
+const PLANNED_GAP_SHARE = 0.85;
 /** Writers that allow shorter pauses than this count as impatient. */
-const IMPATIENT_GAP_MS: Milliseconds = 300;
+const LATENCY_SENSITIVE_GAP_MS: Milliseconds = 300;
 /** Word of the end of a read is sent only where it took this long; the end of others is foreseen. */
 export const MIN_ANNOUNCED_PREFILL_MS: Milliseconds = 60;
 /** A read whose end was not told is taken to be over after this multiple of its time, and a while. */
-const READ_OVERRUN = 1.5;
-const LONGEST_OVERRUN_MS: Milliseconds = 300;
+const PREFILL_OVERRUN_FACTOR = 1.5;
+const PREFILL_OVERRUN_GRACE_MS: Milliseconds = 300;
 /** What a read is taken to need still that should be over. */
-const LATE_READ_MS: Milliseconds = 60;
+const OVERDUE_PREFILL_MS: Milliseconds = 60;
 /** Stands for "no writer to disturb": longer than any read that is worth placing. */
-const UNDISTURBED_SLACK_MS: Milliseconds = 60_000;
+const IDLE_SLACK_MS: Milliseconds = 60_000;
 
 /** Tokens that the engine holds for prompts that others write. */
-function heldOn(engineId: string, uses: ReadonlySet<AttemptUse>): number {
+function reservedTokensOn(engineId: string, uses: ReadonlySet<AttemptUse>): number {
   let tokens = 0;
   for (const { held } of uses) {
     for (const part of held) if (part.engineId === engineId) tokens += part.tokens;
@@ -57,16 +57,16 @@
  * Whether an attempt's prompt is taken to be read still. Its first event tells the end, but for
  * short reads, which are over before word of it would be of use.
  */
-function isReadingStill(use: AttemptUse, nowMs: Milliseconds): boolean {
+function isStillPrefilling(use: AttemptUse, nowMs: Milliseconds): boolean {
   if (!use.isPrefilling) return false;
-  return nowMs < use.placedAtMs + use.partMs * READ_OVERRUN + LONGEST_OVERRUN_MS;
+  return nowMs < use.placedAtMs + use.partMs * PREFILL_OVERRUN_FACTOR + PREFILL_OVERRUN_GRACE_MS;
 }
 
 /**
  * Reading that lies before an engine: reads follow each other, each with a pass of the writers.
  * One that is over time by the plan takes a little longer yet.
  */
-function pendingRead(
+function pendingPrefill(
   uses: ReadonlySet<AttemptUse>,
   passMs: Milliseconds,
   nowMs: Milliseconds,
@@ -79,8 +79,8 @@
     isFirst = false;
     freeAtMs = beginsAtMs + use.partMs + Math.min(passMs, use.partMs);
     const isLate =
-      freeAtMs < nowMs && use.partMs >= MIN_ANNOUNCED_PREFILL_MS && isReadingStill(use, nowMs);
-    if (isLate) freeAtMs = nowMs + LATE_READ_MS;
+      freeAtMs < nowMs && use.partMs >= MIN_ANNOUNCED_PREFILL_MS && isStillPrefilling(use, nowMs);
+    if (isLate) freeAtMs = nowMs + OVERDUE_PREFILL_MS;
   }
   return Math.max(0, freeAtMs - nowMs);
 }
@@ -89,7 +89,7 @@
  * Whether a load stays as it is while no attempt begins or ends on its engine: nothing is read there
  * and nothing that was to be over by now may still be.
  */
-export function isSettled(
+export function isTimeInvariant(
   { pendingPrefillMs: pendingReadMs, avoidedMs }: EngineLoad,
   uses: ReadonlySet<AttemptUse>,
   nowMs: Milliseconds,
@@ -97,13 +97,13 @@
   if (pendingReadMs > 0 || avoidedMs > 0) return false;
   for (const use of uses) {
     if (use.placedAtMs > nowMs) return false;
-    if (use.partMs >= MIN_ANNOUNCED_PREFILL_MS && isReadingStill(use, nowMs)) return false;
+    if (use.partMs >= MIN_ANNOUNCED_PREFILL_MS && isStillPrefilling(use, nowMs)) return false;
   }
   return true;
 }
 
 /** Time until a place is free for one more, by the usual length of answers. */
-function placeWait(figures: EngineFigures, writers: number, passMs: Milliseconds): Milliseconds {
+function slotWait(figures: EngineFigures, writers: number, passMs: Milliseconds): Milliseconds {
   const before = writers - figures.slots + 1;
   if (before <= 0) return 0;
   const answerMs = (figures.usualAnswerTokens / figures.stepsPerPass) * passMs;
@@ -121,8 +121,8 @@
     if (use.writerId !== engineId) continue;
     writers += 1;
     contextTokens += use.contextTokens;
-    writersValue += streamWorth(use.contextTokens);
-    if (use.gapAimMs < IMPATIENT_GAP_MS) latencySensitiveWriters += 1;
+    writersValue += streamValue(use.contextTokens);
+    if (use.gapAimMs < LATENCY_SENSITIVE_GAP_MS) latencySensitiveWriters += 1;
     shortestGapMs = Math.min(shortestGapMs, use.gapAimMs);
   }
   return {
@@ -144,14 +144,14 @@
   const { shortestGapMs, ...sums } = sumWriters(server.id, uses);
   const { writers, contextTokens } = sums;
   const passMs = writers > 0 ? passTimeMs(figures, writers, contextTokens) : 0;
-  const allowedMs = writers > 0 ? shortestGapMs * GAP_SHARE_PLANNED : UNDISTURBED_SLACK_MS;
-  const pendingReadMs = pendingRead(uses, passMs, nowMs);
+  const allowedMs = writers > 0 ? shortestGapMs * PLANNED_GAP_SHARE : IDLE_SLACK_MS;
+  const pendingReadMs = pendingPrefill(uses, passMs, nowMs);
   return {
     server,
     ...sums,
-    usedMemoryTokens: contextTokens + heldOn(server.id, uses),
+    usedMemoryTokens: contextTokens + reservedTokensOn(server.id, uses),
     passMs,
-    slotWaitMs: placeWait(figures, writers, passMs),
+    slotWaitMs: slotWait(figures, writers, passMs),
     pendingPrefillMs: pendingReadMs,
     slackMs: allowedMs - passMs - pendingReadMs,
     avoidedMs,
--- a/packages/fleet/src/fleet-view.test.ts
+++ b/packages/fleet/src/fleet-view.test.ts
@@ -54,7 +54,7 @@
 }
 
 /** What was worked out anew for every engine at each decision: the attempts that concern it. */
-class AllAnew {
+class UncachedView {
   readonly #uses = new Map<string, AttemptUse>();
 
   begin(added: AttemptUse): void {
@@ -92,7 +92,7 @@
     fc.assert(
       fc.property(fc.array(step, { maxLength: 60 }), (steps) => {
         const fleet = new FleetView();
-        const anew = new AllAnew();
+        const anew = new UncachedView();
         let nowMs = 0;
         for (const { kind, attempt, engine, ms } of steps) {
           const begun = use(attempt, engine, ms, nowMs);
--- a/packages/fleet/src/fleet-view.ts
+++ b/packages/fleet/src/fleet-view.ts
@@ -2,20 +2,20 @@
 import type { EngineFigures } from '@poppypond/routing';
 import type { AttemptUse } from './attempt-use.js';
 import type { BackendServer } from './backend-server.js';
-import { engineLoad, isSettled } from './engine-load.js';
+import { engineLoad, isTimeInvariant } from './engine-load.js';
 import type { EngineLoad } from './engine-load.js';
 import { Suspicions } from './suspicions.js';
 
 /** A host hears of a placement that was made for it within a few milliseconds of its last heartbeat. */
-const JUST_PLACED_MS: Milliseconds = 200;
+const RECENT_PLACEMENT_MS: Milliseconds = 200;
 
 /** What is believed about an engine, and for how long. */
-interface KnownLoad {
+interface CachedLoad {
   readonly load: EngineLoad;
   readonly figures: EngineFigures;
   readonly atMs: Milliseconds;
   /** Whether it stays the same until an attempt begins or ends there. */
-  readonly isSettled: boolean;
+  readonly isTimeInvariant: boolean;
 }
 
 /** What an attempt takes up after one of its readers has lost what it read and held. */
@@ -37,7 +37,7 @@
    * place of 2.6 ms for the loads of 720 engines with some four writers each, one of which has
    * changed (mean of 400, beside other work; the test plays both).
    */
-  readonly #loads = new Map<string, KnownLoad>();
+  readonly #cachedLoads = new Map<string, CachedLoad>();
   /** Servers that failed lately. */
   readonly suspicions = new Suspicions();
 
@@ -50,10 +50,10 @@
   begin(use: AttemptUse): void {
     this.end(use.attemptId);
     this.#attempts.set(use.attemptId, use);
-    this.#ofHost(use.host).set(use.attemptId, use);
+    this.#attemptMapOf(use.host).set(use.attemptId, use);
     for (const id of [use.writerId, ...use.readerIds]) {
       this.#usesOf(id).add(use);
-      this.#loads.delete(id);
+      this.#cachedLoads.delete(id);
     }
   }
 
@@ -68,9 +68,9 @@
     const use = this.#attempts.get(attemptId);
     if (!use) return;
     this.#attempts.delete(attemptId);
-    this.#dropOfHost(use);
+    this.#removeFromHost(use);
     for (const id of [use.writerId, ...use.readerIds]) {
-      this.#loads.delete(id);
+      this.#cachedLoads.delete(id);
       const uses = this.#byEngine.get(id);
       uses?.delete(use);
       if (uses?.size === 0) this.#byEngine.delete(id);
@@ -85,7 +85,7 @@
     const kept = new Set(uses.map((use) => use.attemptId));
     for (const use of this.attemptsOf(host)) {
       if (kept.has(use.attemptId)) continue;
-      if (nowMs - use.placedAtMs > JUST_PLACED_MS) this.end(use.attemptId);
+      if (nowMs - use.placedAtMs > RECENT_PLACEMENT_MS) this.end(use.attemptId);
     }
     for (const use of uses) {
       if (!this.#attempts.has(use.attemptId)) this.begin(use);
@@ -112,7 +112,7 @@
       if (use.writerId === serverId) this.end(use.attemptId);
       else this.begin(withoutReader(use, serverId));
     }
-    this.#loads.delete(serverId);
+    this.#cachedLoads.delete(serverId);
     this.suspicions.forget(serverId);
   }
 
@@ -135,18 +135,18 @@
   /** What is believed about `server` now. */
   load(server: BackendServer, figures: EngineFigures, nowMs: Milliseconds): EngineLoad {
     const avoidedMs = this.suspicions.leftMs(server.id, nowMs);
-    const known = this.#loads.get(server.id);
-    const isCurrent = known !== undefined && (known.isSettled || known.atMs === nowMs);
+    const known = this.#cachedLoads.get(server.id);
+    const isCurrent = known !== undefined && (known.isTimeInvariant || known.atMs === nowMs);
     const isOfSame = known?.figures === figures && known.load.server === server;
     if (isCurrent && isOfSame && known.load.avoidedMs === avoidedMs) return known.load;
     const uses = this.#byEngine.get(server.id) ?? new Set();
     const load = engineLoad(server, figures, uses, { nowMs, avoidedMs });
-    const isLasting = isSettled(load, uses, nowMs);
-    this.#loads.set(server.id, { load, figures, atMs: nowMs, isSettled: isLasting });
+    const isLasting = isTimeInvariant(load, uses, nowMs);
+    this.#cachedLoads.set(server.id, { load, figures, atMs: nowMs, isTimeInvariant: isLasting });
     return load;
   }
 
-  #ofHost(host: string): Map<string, AttemptUse> {
+  #attemptMapOf(host: string): Map<string, AttemptUse> {
     const known = this.#byHost.get(host);
     if (known) return known;
     const made = new Map<string, AttemptUse>();
@@ -154,7 +154,7 @@
     return made;
   }
 
-  #dropOfHost({ host, attemptId }: AttemptUse): void {
+  #removeFromHost({ host, attemptId }: AttemptUse): void {
     const attempts = this.#byHost.get(host);
     attempts?.delete(attemptId);
     if (attempts?.size === 0) this.#byHost.delete(host);
--- a/packages/fleet/src/followed-request.ts
+++ b/packages/fleet/src/followed-request.ts
@@ -30,9 +30,9 @@
 export class FollowedRequest {
   readonly #id: ContentId;
   /** What was known as each attempt began, by its id; removed once its server is known to have ended. */
-  readonly #began = new Map<string, TerminationHistory>();
+  readonly #historyAtStart = new Map<string, TerminationHistory>();
   /** What was known after the last end under an attempt of this request. */
-  #own: TerminationHistory = NO_TERMINATIONS;
+  #ownHistory: TerminationHistory = NO_TERMINATIONS;
   #isTrial = false;
 
   constructor(
@@ -44,7 +44,7 @@
 
   /** Names the request; its body is hashed when this is first asked for. */
   get content(): string {
-    return this.#id.whole;
+    return this.#id.full;
   }
 
   /** Ends under it that are known. */
@@ -54,7 +54,7 @@
 
   /** What keeps it from being run now; undefined where nothing does. */
   checkHold(): QuarantineHold | undefined {
-    if (this.#isTrial || !this.#mayBeKnown()) return undefined;
+    if (this.#isTrial || !this.#mayBeRegistered()) return undefined;
     const verdict = this.known.judge(this.content);
     this.#isTrial = verdict === 'trial';
     const entry = verdict === 'held' ? this.known.find(this.content) : undefined;
@@ -63,29 +63,30 @@
 
   /** An attempt begins. */
   begin(attempt: string): void {
-    this.#began.set(
+    this.#historyAtStart.set(
       attempt,
-      this.#mayBeKnown() ? this.known.historyOf(this.content) : NO_TERMINATIONS,
+      this.#mayBeRegistered() ? this.known.historyOf(this.content) : NO_TERMINATIONS,
     );
   }
 
   /** A server ended under an attempt; counts once for each, after those of the attempts before it. */
   onTerminated(attempt: string, server: string): void {
-    const began = this.#began.get(attempt);
+    const began = this.#historyAtStart.get(attempt);
     if (!began) return;
-    this.#began.delete(attempt);
+    this.#historyAtStart.delete(attempt);
     this.#isTrial = false;
     const { round } = began;
-    const ends = this.#own.round === round ? Math.max(began.ends, this.#own.ends) : began.ends;
-    this.#own = this.known.onTermination(this.content, { round, ends }, server);
+    const ends =
+      this.#ownHistory.round === round ? Math.max(began.ends, this.#ownHistory.ends) : began.ends;
+    this.#ownHistory = this.known.onTermination(this.content, { round, ends }, server);
   }
 
   /** It was served. */
   onServed(): void {
-    if (this.#mayBeKnown()) this.known.onServed(this.content);
+    if (this.#mayBeRegistered()) this.known.onServed(this.content);
   }
 
-  #mayBeKnown(): boolean {
-    return this.known.mayContain(() => this.#id.hint);
+  #mayBeRegistered(): boolean {
+    return this.known.mayContain(() => this.#id.prefix);
   }
 }
--- a/packages/fleet/src/foresee-first.test.ts
+++ b/packages/fleet/src/foresee-first.test.ts
@@ -1,8 +1,8 @@
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
 import type { EngineLoad } from './engine-load.js';
-import { foreseeFirstMs } from './foresee-first.js';
-import { MOST_PARTS, withOverrun } from './weigh-parts.js';
+import { estimateFirstEventMs } from './foresee-first.js';
+import { MAX_PARTS, withOverrun } from './weigh-parts.js';
 
 function engine(pendingReadMs: number, slackMs: number, passMs: number): EngineLoad {
   return {
@@ -29,9 +29,9 @@
 }
 
 /** Over all engines for each number of parts. */
-function overAll(engines: readonly EngineLoad[], readMs: number): number {
+function bruteForce(engines: readonly EngineLoad[], readMs: number): number {
   const sorted = [...engines].sort((one, other) => one.pendingPrefillMs - other.pendingPrefillMs);
-  const firsts = Array.from({ length: Math.min(MOST_PARTS, engines.length) }, (_unused, index) => {
+  const firsts = Array.from({ length: Math.min(MAX_PARTS, engines.length) }, (_unused, index) => {
     const partMs = readMs / (index + 1);
     const last = sorted.filter((one) => one.slackMs + one.pendingPrefillMs >= partMs)[index];
     return last
@@ -47,7 +47,7 @@
     fc.assert(
       fc.property(fc.array(drawn, { maxLength: 40 }), fc.nat(20_000), (engines, readMs) => {
         const loads = engines.map(([pending, slack, pass]) => engine(pending, slack, pass));
-        expect(foreseeFirstMs(loads, readMs)).toBe(overAll(loads, readMs));
+        expect(estimateFirstEventMs(loads, readMs)).toBe(bruteForce(loads, readMs));
       }),
       { seed: 27 },
     );
--- a/packages/fleet/src/foresee-first.ts
+++ b/packages/fleet/src/foresee-first.ts
@@ -1,9 +1,9 @@
 import type { Milliseconds } from '@poppypond/core';
 import type { EngineLoad } from './engine-load.js';
-import { MOST_PARTS, withOverrun } from './weigh-parts.js';
+import { MAX_PARTS, withOverrun } from './weigh-parts.js';
 
 /** The last to be free of reads of the first `parts` engines on which a part harms no writer. */
-function lastOfFirst(
+function findNthSuitableEngine(
   soonFreeFirst: readonly EngineLoad[],
   parts: number,
   partMs: Milliseconds,
@@ -20,14 +20,17 @@
  * each number of parts, once that many engines are free of reads on which a part harms no writer.
  * Infinite where no engine ever is.
  */
-export function foreseeFirstMs(engines: readonly EngineLoad[], readMs: Milliseconds): Milliseconds {
+export function estimateFirstEventMs(
+  engines: readonly EngineLoad[],
+  readMs: Milliseconds,
+): Milliseconds {
   const soonFreeFirst = [...engines].sort(
     (one, other) => one.pendingPrefillMs - other.pendingPrefillMs,
   );
   let soonestMs = Number.POSITIVE_INFINITY;
-  for (let parts = 1; parts <= Math.min(MOST_PARTS, engines.length); parts += 1) {
+  for (let parts = 1; parts <= Math.min(MAX_PARTS, engines.length); parts += 1) {
     const partMs = readMs / parts;
-    const lastFree = lastOfFirst(soonFreeFirst, parts, partMs);
+    const lastFree = findNthSuitableEngine(soonFreeFirst, parts, partMs);
     if (!lastFree) continue;
     const firstMs = lastFree.pendingPrefillMs + withOverrun(partMs) + lastFree.passMs;
     soonestMs = Math.min(soonestMs, firstMs);
--- a/packages/fleet/src/late-prompts.ts
+++ b/packages/fleet/src/late-prompts.ts
@@ -23,9 +23,9 @@
  * Share of the engines that must read nothing before a late prompt begins. At 0.8 and 0.9 more is
  * earned under overload, but less at the usual load, and fewer of the largest tenth are served.
  */
-const IDLE_SHARE = 0.65;
+const MIN_IDLE_SHARE = 0.65;
 /** Aims for which a late prompt waits for that; then its caller is told, with time left to return. */
-const PATIENCE_AIMS = 1;
+const MAX_WAIT_TARGETS = 1;
 
 /**
  * Late prompts that one engine could not read within their aim begin only on a fleet that has engine
@@ -42,9 +42,9 @@
     const idle = engines.filter(
       ({ pendingPrefillMs: pendingReadMs }) => pendingReadMs === 0,
     ).length;
-    const isFleetIdle = idle >= engines.length * IDLE_SHARE;
+    const isFleetIdle = idle >= engines.length * MIN_IDLE_SHARE;
     if (!isLarge || demand.isRepeated || isFleetIdle) return { kind: 'begin' };
-    const isPatient = demand.waitedMs <= demand.aimMs * PATIENCE_AIMS;
+    const isPatient = demand.waitedMs <= demand.aimMs * MAX_WAIT_TARGETS;
     if (isPatient) return { kind: 'wait', rule: 'waits_for_idle_engines' };
     return { kind: 'refuse', rule: 'engines_needed_by_timely' };
   }
--- a/packages/fleet/src/limit-ledger.test.ts
+++ b/packages/fleet/src/limit-ledger.test.ts
@@ -9,7 +9,7 @@
 const WHOLE: LimitPart = { role: 'first', share: 1 };
 const STAND_IN: LimitPart = { role: 'stand_in', share: 0.5 };
 
-function ledgerOf(perSecond: number) {
+function bucketsWithLimit(perSecond: number) {
   const limits = new ServerLimits();
   limits.applyNotice(SERVER, { kind: 'named', perSecond }, 0, 0);
   const ledger = new PermitBuckets(limits);
@@ -23,7 +23,7 @@
 
 describe('LimitLedger', () => {
   it('begins with nothing, and gives the next place when it has come in', () => {
-    const { ledger, tryGive } = ledgerOf(2);
+    const { ledger, tryGive } = bucketsWithLimit(2);
     expect(tryGive(0)).toBe(false);
     expect(ledger.nextPermitInMs(SERVER, WHOLE, 0)).toBe(500);
     expect(tryGive(500)).toBe(true);
@@ -31,12 +31,12 @@
   });
 
   it('gives freely for servers that name no limit', () => {
-    const { ledger } = ledgerOf(2);
+    const { ledger } = bucketsWithLimit(2);
     expect(ledger.availablePermits(engineServer('i-2'), WHOLE, 0)).toBe(Number.POSITIVE_INFINITY);
   });
 
   it('counts what was used without being asked for', () => {
-    const { ledger, tryGive } = ledgerOf(2);
+    const { ledger, tryGive } = bucketsWithLimit(2);
     expect(tryGive(0)).toBe(false);
     ledger.grant(SERVER, WHOLE, 0);
     expect(tryGive(600)).toBe(false);
@@ -44,14 +44,14 @@
   });
 
   it('saves nothing up in place of a host that is silent now and then', () => {
-    const { tryGive } = ledgerOf(2);
+    const { tryGive } = bucketsWithLimit(2);
     expect(tryGive(0, STAND_IN)).toBe(false);
     expect(tryGive(10_000, STAND_IN)).toBe(false);
     expect(tryGive(11_000, STAND_IN)).toBe(true);
   });
 
   it('begins anew with each life', () => {
-    const { ledger, limits, tryGive } = ledgerOf(2);
+    const { ledger, limits, tryGive } = bucketsWithLimit(2);
     expect(tryGive(0)).toBe(false);
     const next = { ...SERVER, startedAtMs: 7 };
     limits.applyNotice(next, { kind: 'named', perSecond: 2 }, 100, 400);
@@ -63,7 +63,7 @@
     const perSecond = fc.double({ min: 0.05, max: 30, noNaN: true });
     fc.assert(
       fc.property(pauses, perSecond, (after, limit) => {
-        const { tryGive } = ledgerOf(limit);
+        const { tryGive } = bucketsWithLimit(limit);
         let nowMs = 0;
         const givenAtMs = after.flatMap((pauseMs) => {
           nowMs += pauseMs;
--- a/packages/fleet/src/limit-ledger.ts
+++ b/packages/fleet/src/limit-ledger.ts
@@ -21,18 +21,18 @@
 interface Bucket {
   readonly server: BackendServer;
   /** Places that may be given; under 0 where some were used that could not be asked for. */
-  places: number;
+  permits: number;
   atMs: Milliseconds;
   /** When places were given lately, for those who want to know what was used. */
-  given: Milliseconds[];
+  grantTimes: Milliseconds[];
 }
 
 const MS_PER_SECOND = 1000;
 /** One place is saved up, and what comes in for so long, so that a place that is taken a little late is not lost. */
-const SAVED_MS: Milliseconds = 250;
+const BURST_MS: Milliseconds = 250;
 /** A host that gives for others only now and then begins with nothing each time. */
-const FORGOTTEN_AFTER_MS: Milliseconds = 3000;
-const COUNTED_MS: Milliseconds = 4000;
+const BUCKET_EXPIRY_MS: Milliseconds = 3000;
+const RECENT_GRANTS_MS: Milliseconds = 4000;
 
 /**
  * Counts the requests that servers with a limit get from all hosts, at the one host that gives out the places for them.
@@ -48,23 +48,26 @@
   availablePermits(server: BackendServer, part: LimitPart, nowMs: Milliseconds): number {
     const rate = this.rateOf(server, part, nowMs);
     if (rate === undefined) return Number.POSITIVE_INFINITY;
-    return Math.max(0, Math.floor(this.#filled(server, part, rate, nowMs).places));
+    return Math.max(0, Math.floor(this.#refill(server, part, rate, nowMs).permits));
   }
 
   /** Gives a place, or counts one that was used without being asked for. */
   grant(server: BackendServer, part: LimitPart, nowMs: Milliseconds): void {
     const rate = this.rateOf(server, part, nowMs);
     if (rate === undefined) return;
-    const bucket = this.#filled(server, part, rate, nowMs);
-    bucket.places -= 1;
-    bucket.given = [...bucket.given.filter((atMs) => nowMs - atMs < COUNTED_MS), nowMs];
+    const bucket = this.#refill(server, part, rate, nowMs);
+    bucket.permits -= 1;
+    bucket.grantTimes = [
+      ...bucket.grantTimes.filter((atMs) => nowMs - atMs < RECENT_GRANTS_MS),
+      nowMs,
+    ];
   }
 
   /** How long until a place is there; infinite where none is to come. */
   nextPermitInMs(server: BackendServer, part: LimitPart, nowMs: Milliseconds): Milliseconds {
     const rate = this.rateOf(server, part, nowMs);
     if (rate === undefined) return 0;
-    const missing = 1 - this.#filled(server, part, rate, nowMs).places;
+    const missing = 1 - this.#refill(server, part, rate, nowMs).permits;
     return missing <= 0 ? 0 : (missing / rate) * MS_PER_SECOND;
   }
 
@@ -77,30 +80,30 @@
   /** Places of a server that were given in the last 4 s, in whatever role. */
   recentlyGranted(server: BackendServer, nowMs: Milliseconds): number {
     const given = LIMIT_ROLES.flatMap((role) => {
-      return this.#buckets.get(`${role} ${server.id}`)?.given ?? [];
+      return this.#buckets.get(`${role} ${server.id}`)?.grantTimes ?? [];
     });
-    return given.filter((atMs) => nowMs - atMs < COUNTED_MS).length;
+    return given.filter((atMs) => nowMs - atMs < RECENT_GRANTS_MS).length;
   }
 
-  #filled(server: BackendServer, { role }: LimitPart, rate: number, nowMs: Milliseconds): Bucket {
+  #refill(server: BackendServer, { role }: LimitPart, rate: number, nowMs: Milliseconds): Bucket {
     const key = `${role} ${server.id}`;
     const known = this.#buckets.get(key);
     const isKept =
       known !== undefined &&
       isSameIncarnation(known.server, server) &&
-      (role === 'first' || nowMs - known.atMs < FORGOTTEN_AFTER_MS);
-    if (!isKept) return this.#begin(key, server, nowMs);
-    const most = 1 + (rate * SAVED_MS) / MS_PER_SECOND;
-    known.places = Math.min(most, known.places + (rate * (nowMs - known.atMs)) / MS_PER_SECOND);
+      (role === 'first' || nowMs - known.atMs < BUCKET_EXPIRY_MS);
+    if (!isKept) return this.#createBucket(key, server, nowMs);
+    const most = 1 + (rate * BURST_MS) / MS_PER_SECOND;
+    known.permits = Math.min(most, known.permits + (rate * (nowMs - known.atMs)) / MS_PER_SECOND);
     known.atMs = nowMs;
     return known;
   }
 
-  #begin(key: string, server: BackendServer, nowMs: Milliseconds): Bucket {
+  #createBucket(key: string, server: BackendServer, nowMs: Milliseconds): Bucket {
     for (const [other, { server: counted }] of this.#buckets) {
       if (!this.limits.find(counted)) this.#buckets.delete(other);
     }
-    const bucket = { server, places: 0, atMs: nowMs, given: [] };
+    const bucket = { server, permits: 0, atMs: nowMs, grantTimes: [] };
     this.#buckets.set(key, bucket);
     return bucket;
   }
--- a/packages/fleet/src/quarantine-days.test.ts
+++ b/packages/fleet/src/quarantine-days.test.ts
@@ -16,31 +16,31 @@
 const DAY_MS = 34_000;
 const REQUESTS_PER_DAY = 1400;
 const DAYS = 72;
-const MOST_ATTEMPTS = 2;
-const MOST_TRIES = 2;
-const BEAT_MS = 500;
-const LOST_SHARE = 0.1;
+const MAX_ATTEMPTS = 2;
+const MAX_TRIES = 2;
+const HEARTBEAT_PERIOD_MS = 500;
+const MESSAGE_LOSS_SHARE = 0.1;
 const FATAL = 'fatal-';
 const FATAL_EVERY_MS = 400;
 const FATAL_FOR_MS = 20_000;
 /** What three ends mean is to be known everywhere within this time, and innocent requests free again. */
-const KNOWN_WITHIN_MS = 3000;
+const CONVERGENCE_MS = 3000;
 
-type Act = () => void;
+type Action = () => void;
 
 /** Acts in the order of their instants. */
-class Agenda {
+class EventQueue {
   nowMs = 0;
-  readonly #buckets = new Map<number, Act[]>();
+  readonly #buckets = new Map<number, Action[]>();
 
-  at(atMs: number, act: Act): void {
+  at(atMs: number, act: Action): void {
     const key = Math.max(Math.ceil(atMs), Math.floor(this.nowMs) + 1);
     const bucket = this.#buckets.get(key);
     if (bucket) bucket.push(act);
     else this.#buckets.set(key, [act]);
   }
 
-  after(delayMs: number, act: Act): void {
+  after(delayMs: number, act: Action): void {
     this.at(this.nowMs + delayMs, act);
   }
 
@@ -66,20 +66,20 @@
 }
 
 /** One day of a fleet. */
-class Day {
-  readonly #agenda = new Agenda();
+class SimulatedDay {
+  readonly #events = new EventQueue();
   readonly #hosts = Array.from({ length: HOSTS }, () => new Quarantine());
   readonly #servers: Server[] = Array.from({ length: SERVERS }, (_unused, index) => ({
     zone: index % ZONES,
     isUp: true,
     runs: new Set(),
   }));
-  innocents = 0;
+  regularRequests = 0;
   /** Innocent requests that were held back, and those of them later than 3 s after the third end. */
-  innocentsHeld = 0;
-  innocentsHeldLater = 0;
+  regularHeld = 0;
+  regularHeldLate = 0;
   fatalRunTimes: number[] = [];
-  readonly endsOfFatal: number[] = [];
+  readonly fatalTerminationTimes: number[] = [];
 
   constructor(
     readonly draw: () => number,
@@ -87,32 +87,33 @@
   ) {}
 
   play(): void {
-    for (let index = 0; index < REQUESTS_PER_DAY; index += 1) this.#plan(this.draw() * DAY_MS);
+    for (let index = 0; index < REQUESTS_PER_DAY; index += 1)
+      this.#planRequest(this.draw() * DAY_MS);
     const faults = 5 + Math.floor(this.draw() * 6);
     for (let index = 0; index < faults; index += 1) this.#planFault(this.draw() * DAY_MS);
-    for (let atMs = 0; atMs < DAY_MS; atMs += BEAT_MS) {
-      this.#agenda.at(atMs, () => this.#beatAll());
+    for (let atMs = 0; atMs < DAY_MS; atMs += HEARTBEAT_PERIOD_MS) {
+      this.#events.at(atMs, () => this.#sendHeartbeats());
     }
     const fatalFromMs = this.draw() * (DAY_MS - FATAL_FOR_MS);
     for (let ms = 0; this.hasFatal && ms < FATAL_FOR_MS; ms += FATAL_EVERY_MS) {
-      this.#agenda.at(fatalFromMs + ms, () => this.#try(FATAL, true, MOST_TRIES));
+      this.#events.at(fatalFromMs + ms, () => this.#try(FATAL, true, MAX_TRIES));
     }
-    this.#agenda.run(DAY_MS + 10_000);
+    this.#events.run(DAY_MS + 10_000);
   }
 
   /** One request in three is one of four that everybody asks in that second. */
-  #plan(atMs: number): void {
+  #planRequest(atMs: number): void {
     const second = Math.floor(atMs / 5000);
     const isShared = this.draw() < 0.33;
     const name = isShared ? `hot${String(second)}${String(Math.floor(this.draw() * 4))}` : '';
     const content = isShared ? `${name}-------` : `own---${String(this.draw())}`;
-    this.innocents += 1;
-    this.#agenda.at(atMs, () => this.#try(content, false, MOST_TRIES));
+    this.regularRequests += 1;
+    this.#events.at(atMs, () => this.#try(content, false, MAX_TRIES));
   }
 
   #try(content: string, isFatal: boolean, triesLeft: number): void {
     const host = Math.floor(this.draw() * HOSTS);
-    this.#attempt(host, content, isFatal, MOST_ATTEMPTS, triesLeft, 0);
+    this.#attempt(host, content, isFatal, MAX_ATTEMPTS, triesLeft, 0);
   }
 
   #attempt(
@@ -129,19 +130,19 @@
       if (attemptsLeft > 1) {
         this.#attempt(host, content, isFatal, attemptsLeft - 1, triesLeft, ends);
       } else if (triesLeft > 1) {
-        this.#agenda.after(50 + this.draw() * 300, () =>
+        this.#events.after(50 + this.draw() * 300, () =>
           this.#try(content, isFatal, triesLeft - 1),
         );
       }
     };
-    if (quarantine.judge(content, this.#agenda.nowMs) === 'held') {
-      if (!isFatal) this.#onInnocentHeld(quarantine.find(content));
+    if (quarantine.judge(content, this.#events.nowMs) === 'held') {
+      if (!isFatal) this.#onRegularHeld(quarantine.find(content));
       return;
     }
     // Ended servers are listed for some seconds: such an attempt is not sent, and counts for nothing.
     const server = this.#servers[Math.floor(this.draw() * SERVERS)];
     if (!server?.isUp) {
-      this.#agenda.after(5, () => again(ownEnds));
+      this.#events.after(5, () => again(ownEnds));
       return;
     }
     const known = quarantine.historyOf(content);
@@ -150,53 +151,53 @@
       isFatal,
       onBroken: (found) => {
         if (found === 'lives') return again(ownEnds);
-        const end = { server: 's', host: 'h', atMs: this.#agenda.nowMs };
+        const end = { server: 's', host: 'h', atMs: this.#events.nowMs };
         const entry = quarantine.onTermination(content, began, end);
-        this.#tell(host, entry);
+        this.#broadcast(host, entry);
         again(entry.ends);
       },
       onWhole: () => {
-        const entry = quarantine.onServed(content, this.#agenda.nowMs);
-        if (entry) this.#tell(host, entry);
+        const entry = quarantine.onServed(content, this.#events.nowMs);
+        if (entry) this.#broadcast(host, entry);
       },
     };
     server.runs.add(run);
     this.#serve(server, run);
   }
 
-  #onInnocentHeld(entry: QuarantineEntry | undefined): void {
-    this.innocentsHeld += 1;
-    const heldForMs = this.#agenda.nowMs - (entry?.lastTerminations.at(-1)?.atMs ?? 0);
-    if (heldForMs > KNOWN_WITHIN_MS) this.innocentsHeldLater += 1;
+  #onRegularHeld(entry: QuarantineEntry | undefined): void {
+    this.regularHeld += 1;
+    const heldForMs = this.#events.nowMs - (entry?.lastTerminations.at(-1)?.atMs ?? 0);
+    if (heldForMs > CONVERGENCE_MS) this.regularHeldLate += 1;
   }
 
   #serve(server: Server, run: Run): void {
     if (run.isFatal) {
-      this.fatalRunTimes.push(this.#agenda.nowMs);
-      this.#agenda.after(100, () => {
+      this.fatalRunTimes.push(this.#events.nowMs);
+      this.#events.after(100, () => {
         if (!server.runs.has(run)) return;
-        this.endsOfFatal.push(this.#agenda.nowMs);
-        this.#end(server, 2, 3000);
+        this.fatalTerminationTimes.push(this.#events.nowMs);
+        this.#terminate(server, 2, 3000);
       });
       return;
     }
     const size = this.draw();
     const tookMs = size < 0.8 ? 300 : size < 0.95 ? 1000 : 4000;
-    this.#agenda.after(tookMs * (0.5 + this.draw()), () => {
+    this.#events.after(tookMs * (0.5 + this.draw()), () => {
       if (server.runs.delete(run)) run.onWhole();
     });
   }
 
   /** A server ends; hosts find that out after `foundAfterMs`. */
-  #end(server: Server, foundAfterMs: number, backAfterMs: number): void {
+  #terminate(server: Server, foundAfterMs: number, backAfterMs: number): void {
     if (!server.isUp) return;
     server.isUp = false;
     const { runs } = server;
     server.runs = new Set();
     for (const run of runs) {
-      this.#agenda.after(foundAfterMs + this.draw() * 5, () => run.onBroken('ended'));
+      this.#events.after(foundAfterMs + this.draw() * 5, () => run.onBroken('ended'));
     }
-    this.#agenda.after(backAfterMs, () => {
+    this.#events.after(backAfterMs, () => {
       server.isUp = true;
     });
   }
@@ -207,14 +208,14 @@
     const share = 0.1 + this.draw() * 0.4;
     const pick = () => this.#servers.filter(() => this.draw() < share);
     const backAfterMs = 1500 + this.draw() * 4000;
-    this.#agenda.at(atMs, () => {
-      if (kind === 0) for (const server of pick()) this.#end(server, 2, backAfterMs);
-      if (kind === 1) for (const server of pick()) this.#end(server, 900, backAfterMs);
+    this.#events.at(atMs, () => {
+      if (kind === 0) for (const server of pick()) this.#terminate(server, 2, backAfterMs);
+      if (kind === 1) for (const server of pick()) this.#terminate(server, 900, backAfterMs);
       if (kind === 2) {
         for (const server of this.#servers)
-          if (server.zone === zone) this.#end(server, 2, backAfterMs);
+          if (server.zone === zone) this.#terminate(server, 2, backAfterMs);
       }
-      if (kind === 3) for (const server of this.#servers) this.#end(server, 2, backAfterMs);
+      if (kind === 3) for (const server of this.#servers) this.#terminate(server, 2, backAfterMs);
       if (kind === 4) for (const server of pick()) this.#reset(server);
       if (kind === 5) this.#release(pick());
     });
@@ -224,29 +225,29 @@
     for (const run of [...server.runs]) {
       if (this.draw() < 0.5) continue;
       server.runs.delete(run);
-      this.#agenda.after(2, () => run.onBroken('lives'));
+      this.#events.after(2, () => run.onBroken('lives'));
     }
   }
 
   /** Servers are replaced one after the other, and end with what they still run. */
   #release(servers: readonly Server[]): void {
     servers.forEach((server, index) => {
-      this.#agenda.after(index * 1000, () => this.#end(server, 2, 1000));
+      this.#events.after(index * 1000, () => this.#terminate(server, 2, 1000));
     });
   }
 
-  #tell(from: number, entry: QuarantineEntry): void {
+  #broadcast(from: number, entry: QuarantineEntry): void {
     this.#hosts.forEach((_other, to) => {
-      if (to !== from && this.draw() > LOST_SHARE) this.#send(to, entry);
+      if (to !== from && this.draw() > MESSAGE_LOSS_SHARE) this.#send(to, entry);
     });
   }
 
   #send(to: number, entry: QuarantineEntry): void {
-    this.#agenda.after(2 + this.draw() * 40, () => this.#hosts[to]?.merge(entry));
+    this.#events.after(2 + this.draw() * 40, () => this.#hosts[to]?.merge(entry));
   }
 
   /** The first two hosts and all others tell each other what is newest. */
-  #beatAll(): void {
+  #sendHeartbeats(): void {
     this.#hosts.forEach((host, index) => {
       for (const first of [0, 1]) {
         for (const entry of host.entriesFor(0, 8)) this.#send(first, entry);
@@ -256,7 +257,7 @@
   }
 }
 
-function drawFrom(seed: number): () => number {
+function seededRandom(seed: number): () => number {
   const generator = xoroshiro128plus(seed);
   for (let skipped = 0; skipped < 64; skipped += 1) generator.next();
   return () => (generator.next() >>> 0) / 2 ** 32;
@@ -271,11 +272,11 @@
     let held = 0;
     let heldLater = 0;
     for (let seed = 1; seed <= DAYS; seed += 1) {
-      const day = new Day(drawFrom(seed), seed % 3 === 0);
+      const day = new SimulatedDay(seededRandom(seed), seed % 3 === 0);
       day.play();
-      innocents += day.innocents;
-      held += day.innocentsHeld;
-      heldLater += day.innocentsHeldLater;
+      innocents += day.regularRequests;
+      held += day.regularHeld;
+      heldLater += day.regularHeldLate;
     }
     expect(innocents).toBeGreaterThanOrEqual(100_000);
     expect(heldLater).toBe(0);
@@ -284,9 +285,9 @@
 
   it('runs a request that ends engines no more than three times once that is known', () => {
     for (let seed = 1; seed <= DAYS; seed += 1) {
-      const day = new Day(drawFrom(seed), true);
+      const day = new SimulatedDay(seededRandom(seed), true);
       day.play();
-      const knownAtMs = (day.endsOfFatal[2] ?? Infinity) + KNOWN_WITHIN_MS;
+      const knownAtMs = (day.fatalTerminationTimes[2] ?? Infinity) + CONVERGENCE_MS;
       const later = day.fatalRunTimes.filter((atMs) => atMs > knownAtMs).length;
       expect(later, `seed ${String(seed)}`).toBeLessThanOrEqual(3);
     }
--- a/packages/fleet/src/quarantine.test.ts
+++ b/packages/fleet/src/quarantine.test.ts
@@ -11,7 +11,7 @@
 }
 
 /** Servers end under a request one after the other, found at `atMs`. */
-function endInTurn(quarantine: Quarantine, content: string, times: number, atMs = 0): void {
+function terminateInTurn(quarantine: Quarantine, content: string, times: number, atMs = 0): void {
   for (let index = 0; index < times; index += 1) {
     quarantine.onTermination(
       content,
@@ -24,9 +24,9 @@
 describe('Quarantine', () => {
   it('holds a request after three ends one after the other, and no other one', () => {
     const quarantine = new Quarantine();
-    endInTurn(quarantine, A, 2);
+    terminateInTurn(quarantine, A, 2);
     expect(quarantine.judge(A, 1)).toBe('free');
-    endInTurn(quarantine, A, 1);
+    terminateInTurn(quarantine, A, 1);
     expect(quarantine.judge(A, 1)).toBe('held');
     expect(quarantine.judge(B, 1)).toBe('free');
     expect(quarantine.mayContain(() => A.slice(0, 6))).toBe(true);
@@ -43,7 +43,7 @@
   it('frees a request at its first good answer, also if ends of before are found later', () => {
     const quarantine = new Quarantine();
     const before = quarantine.historyOf(A);
-    endInTurn(quarantine, A, MAX_TERMINATIONS);
+    terminateInTurn(quarantine, A, MAX_TERMINATIONS);
     quarantine.onServed(A, 5);
     expect(quarantine.judge(A, 6)).toBe('free');
     expect(quarantine.onTermination(A, before, end('late')).ends).toBe(1);
@@ -51,7 +51,7 @@
 
   it('gives one trial after twenty seconds, and the next after four times as long', () => {
     const quarantine = new Quarantine();
-    endInTurn(quarantine, A, MAX_TERMINATIONS);
+    terminateInTurn(quarantine, A, MAX_TERMINATIONS);
     expect(quarantine.judge(A, 19_999)).toBe('held');
     expect(quarantine.judge(A, 20_000, 500)).toBe('held');
     expect(quarantine.judge(A, 20_000)).toBe('trial');
@@ -63,9 +63,9 @@
 
   it('forgets what is long over, and keeps a thousand requests at the most, those that are held first', () => {
     const quarantine = new Quarantine();
-    endInTurn(quarantine, A, MAX_TERMINATIONS, 0);
+    terminateInTurn(quarantine, A, MAX_TERMINATIONS, 0);
     for (let index = 0; index < 5000; index += 1)
-      endInTurn(quarantine, `other-${String(index)}`, 1);
+      terminateInTurn(quarantine, `other-${String(index)}`, 1);
     expect(quarantine.size).toBe(1024);
     expect(quarantine.judge(A, 1)).toBe('held');
     quarantine.expire(130_000);
@@ -77,7 +77,8 @@
 
   it('tells peers the newest entries each time and the others by turns', () => {
     const quarantine = new Quarantine();
-    for (let index = 0; index < 40; index += 1) endInTurn(quarantine, `c-${String(index)}`, 1);
+    for (let index = 0; index < 40; index += 1)
+      terminateInTurn(quarantine, `c-${String(index)}`, 1);
     const told = new Set<string>();
     for (let turn = 0; turn < 9; turn += 1) {
       const entries = quarantine.entriesFor(turn, 8);
--- a/packages/fleet/src/quarantine.ts
+++ b/packages/fleet/src/quarantine.ts
@@ -1,5 +1,5 @@
 import type { Milliseconds } from '@poppypond/core';
-import { hintOf } from './content-id.js';
+import { prefixOf } from './content-id.js';
 
 /** A server that ended while it ran a request. */
 export interface ServerTermination {
@@ -46,23 +46,23 @@
  * all that runs on one server, some ten requests, and the server for some three seconds; an innocent request
  * that is held and that nobody else is served meanwhile is back after one hold.
  */
-const FIRST_HOLD_MS: Milliseconds = 20_000;
+const INITIAL_HOLD_MS: Milliseconds = 20_000;
 const HOLD_GROWTH = 4;
-const LONGEST_HOLD_MS: Milliseconds = 600_000;
+const MAX_HOLD_MS: Milliseconds = 600_000;
 /** What happened this long ago says nothing of a request that is not held. */
-const REMEMBERED_MS: Milliseconds = 120_000;
+const RETENTION_MS: Milliseconds = 120_000;
 /** Bounds memory where thousands of different requests meet ends of servers: 1.1 MB, as measured. */
-const MOST_ENTRIES = 1024;
+const MAX_ENTRIES = 1024;
 /** Ends that are told when somebody asks why. */
-const LAST_ENDS = 3;
+const MAX_LISTED_TERMINATIONS = 3;
 
 /** Of a request of which nothing is known. */
 export const NO_TERMINATIONS: TerminationHistory = { round: 0, ends: 0 };
 
 function holdMs(ends: number): Milliseconds {
   return Math.min(
-    LONGEST_HOLD_MS,
-    FIRST_HOLD_MS * HOLD_GROWTH ** Math.max(0, ends - MAX_TERMINATIONS),
+    MAX_HOLD_MS,
+    INITIAL_HOLD_MS * HOLD_GROWTH ** Math.max(0, ends - MAX_TERMINATIONS),
   );
 }
 
@@ -72,13 +72,13 @@
 }
 
 /** Whether `other` tells more than `known`, by the order in which all hosts agree. */
-function tellsMore(other: QuarantineEntry, known: QuarantineEntry): boolean {
+function supersedes(other: QuarantineEntry, known: QuarantineEntry): boolean {
   if (other.round !== known.round) return other.round > known.round;
-  return other.ends > known.ends || isHeldLonger(other, known);
+  return other.ends > known.ends || isQuarantinedLonger(other, known);
 }
 
 /** Of the same ends; a difference that comes from the way of a message is none. */
-function isHeldLonger(other: QuarantineEntry, known: QuarantineEntry): boolean {
+function isQuarantinedLonger(other: QuarantineEntry, known: QuarantineEntry): boolean {
   return (
     other.ends === known.ends &&
     other.quarantinedUntilMs > known.quarantinedUntilMs + holdMs(MAX_TERMINATIONS) / 2
@@ -96,7 +96,7 @@
   /** By content; the one that changed last comes last. */
   readonly #entries = new Map<string, QuarantineEntry>();
   /** How many entries with ends begin with each hint. */
-  readonly #hints = new Map<string, number>();
+  readonly #prefixCounts = new Map<string, number>();
 
   /** How many requests are known. */
   get size(): number {
@@ -105,7 +105,7 @@
 
   /** Whether a request whose name begins with `hint` may be known; asked before its body is read. */
   mayContain(hint: () => string): boolean {
-    return this.#hints.size > 0 && this.#hints.has(hint());
+    return this.#prefixCounts.size > 0 && this.#prefixCounts.has(hint());
   }
 
   /** What is known of a request; undefined where nothing is. */
@@ -149,7 +149,9 @@
     const ends = Math.max(known?.ends ?? 0, before + 1);
     const isNext = ends > (known?.ends ?? 0);
     const quarantinedUntilMs = isNext ? end.atMs + holdMs(ends) : (known?.quarantinedUntilMs ?? 0);
-    const lastTerminations = [...(known?.lastTerminations ?? []), end].slice(-LAST_ENDS);
+    const lastTerminations = [...(known?.lastTerminations ?? []), end].slice(
+      -MAX_LISTED_TERMINATIONS,
+    );
     const entry = {
       content,
       round,
@@ -182,7 +184,7 @@
   /** Takes in what another host knows; true where that is news. */
   merge(told: QuarantineEntry): boolean {
     const known = this.#entries.get(told.content);
-    if (known && !tellsMore(told, known)) return false;
+    if (known && !supersedes(told, known)) return false;
     this.#put(told);
     return true;
   }
@@ -201,20 +203,20 @@
   expire(nowMs: Milliseconds): void {
     for (const entry of [...this.#entries.values()]) {
       const lastMs = isQuarantined(entry) ? entry.quarantinedUntilMs : entry.changedAtMs;
-      if (nowMs - lastMs > REMEMBERED_MS) this.#remove(entry);
+      if (nowMs - lastMs > RETENTION_MS) this.#remove(entry);
     }
   }
 
   #put(entry: QuarantineEntry): void {
     const known = this.#entries.get(entry.content);
     if (known) this.#remove(known);
-    else if (this.#entries.size >= MOST_ENTRIES) this.#removeLeast();
+    else if (this.#entries.size >= MAX_ENTRIES) this.#evictOne();
     this.#entries.set(entry.content, entry);
-    if (entry.ends > 0) this.#countHint(hintOf(entry.content), 1);
+    if (entry.ends > 0) this.#countPrefix(prefixOf(entry.content), 1);
   }
 
   /** The one that is least missed: not held, and unchanged for longest. */
-  #removeLeast(): void {
+  #evictOne(): void {
     const entries = [...this.#entries.values()];
     const least = entries.find((entry) => !isQuarantined(entry)) ?? entries[0];
     if (least) this.#remove(least);
@@ -222,12 +224,12 @@
 
   #remove(entry: QuarantineEntry): void {
     this.#entries.delete(entry.content);
-    if (entry.ends > 0) this.#countHint(hintOf(entry.content), -1);
+    if (entry.ends > 0) this.#countPrefix(prefixOf(entry.content), -1);
   }
 
-  #countHint(hint: string, by: number): void {
-    const count = (this.#hints.get(hint) ?? 0) + by;
-    if (count > 0) this.#hints.set(hint, count);
-    else this.#hints.delete(hint);
+  #countPrefix(hint: string, by: number): void {
+    const count = (this.#prefixCounts.get(hint) ?? 0) + by;
+    if (count > 0) this.#prefixCounts.set(hint, count);
+    else this.#prefixCounts.delete(hint);
   }
 }
--- a/packages/fleet/src/resting-servers.test.ts
+++ b/packages/fleet/src/resting-servers.test.ts
@@ -4,7 +4,7 @@
 import { MAX_BACKOFF_MS, ServerBackoffs } from './resting-servers.js';
 
 const SERVER = engineServer('i-1');
-const atOnce = () => 0;
+const noJitter = () => 0;
 
 describe('RestingServers', () => {
   it('lets nothing through for as long as any of its words asked for', () => {
@@ -19,7 +19,7 @@
         ),
         fastCheck.nat(30_000),
         (words, lookMs) => {
-          const rests = new ServerBackoffs(atOnce);
+          const rests = new ServerBackoffs(noJitter);
           let nowMs = 0;
           let untilMs = 0;
           for (const { afterMs, forMs } of words) {
@@ -35,7 +35,7 @@
   });
 
   it('binds one life of one server', () => {
-    const rests = new ServerBackoffs(atOnce);
+    const rests = new ServerBackoffs(noJitter);
     rests.begin(SERVER, 3000, 0);
     expect(rests.canSend(engineServer('i-2'), 10)).toBe(true);
     expect(rests.canSend({ ...SERVER, startedAtMs: 5 }, 10)).toBe(true);
@@ -43,7 +43,7 @@
   });
 
   it('returns by steps: twice as many at once with each that is answered', () => {
-    const rests = new ServerBackoffs(atOnce);
+    const rests = new ServerBackoffs(noJitter);
     rests.begin(SERVER, 3000, 0);
     const sendAll = (round: number) => {
       const sent: string[] = [];
@@ -64,7 +64,7 @@
   });
 
   it('begins at one again after another rest, and lets attempts without an answer go', () => {
-    const rests = new ServerBackoffs(atOnce);
+    const rests = new ServerBackoffs(noJitter);
     rests.begin(SERVER, 1000, 0);
     rests.onSent(SERVER, 'a', 1000);
     expect(rests.canSend(SERVER, 1000)).toBe(false);
@@ -78,7 +78,7 @@
   });
 
   it('lets two orders through while it rests, and tells each rest once', () => {
-    const rests = new ServerBackoffs(atOnce);
+    const rests = new ServerBackoffs(noJitter);
     expect(rests.begin(SERVER, 3000, 0).isNew).toBe(true);
     expect(rests.begin(SERVER, 3000, 100).isNew).toBe(false);
     expect([1, 2, 3].map(() => rests.tryReservationCommand(SERVER, 200))).toEqual([
@@ -90,7 +90,7 @@
   });
 
   it('tries a server that asked for absurdly long after its longest rest, and forgets old ones', () => {
-    const rests = new ServerBackoffs(atOnce);
+    const rests = new ServerBackoffs(noJitter);
     rests.begin(SERVER, 1e12, 0);
     expect(rests.leftMs(SERVER, 0)).toBe(MAX_BACKOFF_MS);
     rests.begin(engineServer('i-2'), 100, MAX_BACKOFF_MS + 60_001);
--- a/packages/fleet/src/resting-servers.ts
+++ b/packages/fleet/src/resting-servers.ts
@@ -2,7 +2,7 @@
 import { isSameIncarnation } from './backend-server.js';
 import type { BackendServer } from './backend-server.js';
 
-interface Rest {
+interface Backoff {
   readonly server: BackendServer;
   readonly untilMs: Milliseconds;
   /** Requests that may be without an answer at once, after the rest. */
@@ -10,7 +10,7 @@
   /** Requests sent after the rest that have no answer yet. */
   readonly unanswered: ReadonlySet<string>;
   /** Orders that may be sent still while it rests. */
-  readonly ordersLeft: number;
+  readonly commandsLeft: number;
 }
 
 /** What came of a word that a server wants rest. */
@@ -29,16 +29,16 @@
 /** A word that prolongs a rest by less is no news: many answers that say the same come over some milliseconds. */
 export const BACKOFF_CHANGE_MS: Milliseconds = 500;
 /** Hosts that were asked for the same rest come back within this share of it, and not all at its end. */
-const RETURN_SPREAD_SHARE = 0.1;
-const LONGEST_RETURN_SPREAD_MS: Milliseconds = 500;
+const JITTER_SHARE = 0.1;
+const MAX_JITTER_MS: Milliseconds = 500;
 /** After a rest one request is sent, and twice as many with each that is answered, up to no bound. */
-const FIRST_MOST = 1;
-const MOST_GROWTH = 2;
-const NO_BOUND_FROM = 32;
+const INITIAL_CONCURRENCY = 1;
+const CONCURRENCY_GROWTH = 2;
+const UNLIMITED_CONCURRENCY = 32;
 /** A server that was not needed for so long after its rest is taken as any other. */
-const FORGOTTEN_AFTER_MS: Milliseconds = 60_000;
+const RECOVERY_RETENTION_MS: Milliseconds = 60_000;
 /** Sent to a server that rests: one order to hold on to memory that a request uses there, and one to free it. */
-const ORDERS_IN_REST = 2;
+const COMMANDS_DURING_BACKOFF = 2;
 
 /**
  * Servers that asked this host for rest, by a 503 with the time for which they want nothing more from it. It binds
@@ -46,27 +46,32 @@
  * again.
  */
 export class ServerBackoffs {
-  readonly #rests = new Map<string, Rest>();
+  readonly #backoffs = new Map<string, Backoff>();
 
   /** `draw`: uniform random numbers in [0, 1). */
   constructor(readonly random: () => number) {}
 
   get size(): number {
-    return this.#rests.size;
+    return this.#backoffs.size;
   }
 
   /** The server wants nothing for `forMs` from now. Of several words the one that lasts longest holds. */
   begin(server: BackendServer, forMs: Milliseconds, nowMs: Milliseconds): StartedBackoff {
-    this.#forgetLongOver(nowMs);
+    this.#dropExpired(nowMs);
     const known = this.#find(server);
-    const spreadMs =
-      Math.min(forMs * RETURN_SPREAD_SHARE, LONGEST_RETURN_SPREAD_MS) * this.random();
+    const spreadMs = Math.min(forMs * JITTER_SHARE, MAX_JITTER_MS) * this.random();
     const wantedMs = nowMs + Math.min(forMs, MAX_BACKOFF_MS) + spreadMs;
     const untilMs = Math.max(wantedMs, known?.untilMs ?? 0);
     const isResting = known !== undefined && known.untilMs > nowMs;
     const unanswered = known?.unanswered ?? new Set();
-    const ordersLeft = isResting ? known.ordersLeft : ORDERS_IN_REST;
-    this.#rests.set(server.id, { server, untilMs, most: FIRST_MOST, unanswered, ordersLeft });
+    const ordersLeft = isResting ? known.commandsLeft : COMMANDS_DURING_BACKOFF;
+    this.#backoffs.set(server.id, {
+      server,
+      untilMs,
+      most: INITIAL_CONCURRENCY,
+      unanswered,
+      commandsLeft: ordersLeft,
+    });
     return { untilMs, isNew: !isResting || untilMs - known.untilMs > BACKOFF_CHANGE_MS };
   }
 
@@ -90,40 +95,43 @@
   onSent(server: BackendServer, attemptId: string, nowMs: Milliseconds): void {
     const rest = this.#find(server);
     if (!rest || rest.untilMs > nowMs) return;
-    this.#rests.set(server.id, { ...rest, unanswered: new Set([...rest.unanswered, attemptId]) });
+    this.#backoffs.set(server.id, {
+      ...rest,
+      unanswered: new Set([...rest.unanswered, attemptId]),
+    });
   }
 
   /** Whether an order may be sent now; counts it where the server rests. */
   tryReservationCommand(server: BackendServer, nowMs: Milliseconds): boolean {
     const rest = this.#find(server);
     if (!rest || rest.untilMs <= nowMs) return true;
-    if (rest.ordersLeft === 0) return false;
-    this.#rests.set(server.id, { ...rest, ordersLeft: rest.ordersLeft - 1 });
+    if (rest.commandsLeft === 0) return false;
+    this.#backoffs.set(server.id, { ...rest, commandsLeft: rest.commandsLeft - 1 });
     return true;
   }
 
   /** The request has an answer, which a new rest may follow. */
   onAnswered(server: BackendServer, attemptId: string): void {
-    const rest = this.#take(server, attemptId);
+    const rest = this.#withoutRequest(server, attemptId);
     if (!rest) return;
-    const most = rest.most * MOST_GROWTH;
-    if (most >= NO_BOUND_FROM) this.#rests.delete(server.id);
-    else this.#rests.set(server.id, { ...rest, most });
+    const most = rest.most * CONCURRENCY_GROWTH;
+    if (most >= UNLIMITED_CONCURRENCY) this.#backoffs.delete(server.id);
+    else this.#backoffs.set(server.id, { ...rest, most });
   }
 
   /** The request is over, with an answer or without one. */
   onAttemptEnd(server: BackendServer, attemptId: string): void {
-    const rest = this.#take(server, attemptId);
-    if (rest) this.#rests.set(server.id, rest);
+    const rest = this.#withoutRequest(server, attemptId);
+    if (rest) this.#backoffs.set(server.id, rest);
   }
 
-  #forgetLongOver(nowMs: Milliseconds): void {
-    for (const [id, { untilMs }] of this.#rests) {
-      if (nowMs - untilMs > FORGOTTEN_AFTER_MS) this.#rests.delete(id);
+  #dropExpired(nowMs: Milliseconds): void {
+    for (const [id, { untilMs }] of this.#backoffs) {
+      if (nowMs - untilMs > RECOVERY_RETENTION_MS) this.#backoffs.delete(id);
     }
   }
 
-  #take(server: BackendServer, attemptId: string): Rest | undefined {
+  #withoutRequest(server: BackendServer, attemptId: string): Backoff | undefined {
     const rest = this.#find(server);
     if (!rest?.unanswered.has(attemptId)) return undefined;
     const unanswered = new Set(rest.unanswered);
@@ -131,8 +139,8 @@
     return { ...rest, unanswered };
   }
 
-  #find(server: BackendServer): Rest | undefined {
-    const rest = this.#rests.get(server.id);
+  #find(server: BackendServer): Backoff | undefined {
+    const rest = this.#backoffs.get(server.id);
     return rest && isSameIncarnation(rest.server, server) ? rest : undefined;
   }
 }
--- a/packages/fleet/src/retry-budget.ts
+++ b/packages/fleet/src/retry-budget.ts
@@ -10,11 +10,11 @@
 }
 
 /** Part of the shared figures that is planned with; the rest covers hosts that come and go. */
-const SHARE_PLANNED = 0.8;
+const PLANNED_SHARE = 0.8;
 
-interface ServiceCounts {
-  firsts: Milliseconds[];
-  retries: Milliseconds[];
+interface ServiceHistory {
+  firstAttemptTimes: Milliseconds[];
+  retryTimes: Milliseconds[];
 }
 
 /**
@@ -23,7 +23,7 @@
  * as the number of hosts only falls slowly after the last word of a host.
  */
 export class RetryBudget {
-  readonly #services = new Map<string, ServiceCounts>();
+  readonly #services = new Map<string, ServiceHistory>();
 
   constructor(
     readonly clock: Clock,
@@ -33,25 +33,25 @@
 
   /** Notes a first attempt. */
   onRequest(service: string): void {
-    this.#counts(service).firsts.push(this.clock.monotonicMs());
+    this.#historyOf(service).firstAttemptTimes.push(this.clock.monotonicMs());
   }
 
   /** Takes one retry; false where this host's part is used up. */
   tryTake(service: string): boolean {
-    const counts = this.#counts(service);
+    const counts = this.#historyOf(service);
     const { ratio, slack } = this.figures;
     const shared = slack / Math.max(1, this.hostCount());
-    const allowed = SHARE_PLANNED * (shared + ratio * counts.firsts.length);
-    if (counts.retries.length + 1 > allowed) return false;
-    counts.retries.push(this.clock.monotonicMs());
+    const allowed = PLANNED_SHARE * (shared + ratio * counts.firstAttemptTimes.length);
+    if (counts.retryTimes.length + 1 > allowed) return false;
+    counts.retryTimes.push(this.clock.monotonicMs());
     return true;
   }
 
-  #counts(service: string): ServiceCounts {
+  #historyOf(service: string): ServiceHistory {
     const sinceMs = this.clock.monotonicMs() - this.figures.windowMs;
-    const counts = this.#services.get(service) ?? { firsts: [], retries: [] };
-    counts.firsts = counts.firsts.filter((instant) => instant > sinceMs);
-    counts.retries = counts.retries.filter((instant) => instant > sinceMs);
+    const counts = this.#services.get(service) ?? { firstAttemptTimes: [], retryTimes: [] };
+    counts.firstAttemptTimes = counts.firstAttemptTimes.filter((instant) => instant > sinceMs);
+    counts.retryTimes = counts.retryTimes.filter((instant) => instant > sinceMs);
     this.#services.set(service, counts);
     return counts;
   }
--- a/packages/fleet/src/retry-decision.ts
+++ b/packages/fleet/src/retry-decision.ts
@@ -43,15 +43,15 @@
 }
 
 /** Attempts that no server of the service has seen; more would only hold the caller up. */
-const MOST_UNDELIVERED = 4;
+const MAX_UNDELIVERED = 4;
 /** With less time than this no server could still answer. */
-const SHORTEST_USEFUL_MS = 60;
+const MIN_USEFUL_MS = 60;
 
 /** What forbids another attempt whatever the budget allows; undefined where nothing does. */
-function reasonAgainst(inputs: RetryInputs): RetryDecision['why'] | undefined {
+function refusalReason(inputs: RetryInputs): RetryDecision['why'] | undefined {
   const { failure, mayRepeat, attemptsSent, attemptsUndelivered, maxAttempts } = inputs;
   if (isUndelivered(failure)) {
-    return attemptsUndelivered < MOST_UNDELIVERED ? undefined : 'unreachable';
+    return attemptsUndelivered < MAX_UNDELIVERED ? undefined : 'unreachable';
   }
   if (failure !== 'not_run' && !mayRepeat) return 'may_not_be_repeated';
   return attemptsSent < maxAttempts ? undefined : 'attempts_used';
@@ -59,9 +59,9 @@
 
 /** Decides whether to try another server. */
 export function decideRetry(inputs: RetryInputs): RetryDecision {
-  if (inputs.timeLeftMs < SHORTEST_USEFUL_MS) return { again: false, why: 'no_time_left' };
+  if (inputs.timeLeftMs < MIN_USEFUL_MS) return { again: false, why: 'no_time_left' };
   if (inputs.isQuarantined) return { again: false, why: 'quarantined' };
-  const why = reasonAgainst(inputs);
+  const why = refusalReason(inputs);
   if (why) return { again: false, why };
   if (inputs.failure === 'not_sent') return { again: true, why: 'nothing_was_sent' };
   return inputs.takeRetry()
--- a/packages/fleet/src/server-limits.ts
+++ b/packages/fleet/src/server-limits.ts
@@ -27,15 +27,15 @@
 export type LimitChange = 'named' | 'changed' | 'over' | undefined;
 
 /** A limit of 0, or of less than this, is taken for this: without a request now and then nobody hears that it is over. */
-const LEAST_PER_SECOND = 0.05;
+const MIN_PER_SECOND = 0.05;
 /** After a limit the rate begins at this at least, and doubles until it is no limit any more. */
-const RETURN_PER_SECOND = 1;
-const RETURN_DOUBLING_MS: Milliseconds = 300;
-const RETURN_MS: Milliseconds = 3000;
+const RAMP_UP_START_PER_SECOND = 1;
+const RAMP_UP_DOUBLING_MS: Milliseconds = 300;
+const RAMP_UP_MS: Milliseconds = 3000;
 /** A limit that is over is told for so long to hosts that may have missed the word. */
-const OVER_TOLD_MS: Milliseconds = 30_000;
+const LIFTED_RETENTION_MS: Milliseconds = 30_000;
 /** A word that no answer has renewed for so long is of a server that is gone, or that nobody needs. */
-const NAMED_KNOWN_MS: Milliseconds = 600_000;
+const REPORTED_RETENTION_MS: Milliseconds = 600_000;
 
 /**
  * Limits that servers name for all hosts together. They bind whoever sends, whoever heard them: what one host sees of
@@ -60,18 +60,18 @@
     saidAtMs: Milliseconds,
   ): LimitChange {
     const known = this.find(server);
-    if (word.kind === 'named') return this.#name(server, word.perSecond, saidAtMs, saidAtMs);
+    if (word.kind === 'named') return this.#record(server, word.perSecond, saidAtMs, saidAtMs);
     if (word.kind === 'unreadable' || !known || known.isLifted) return undefined;
-    return askedAtMs > known.reportedAtMs ? this.#end(known, saidAtMs, saidAtMs) : undefined;
+    return askedAtMs > known.reportedAtMs ? this.#lift(known, saidAtMs, saidAtMs) : undefined;
   }
 
   /** Takes in what another host knows. */
   mergePeerLimit(told: PeerLimit, nowMs: Milliseconds): LimitChange {
     const { server, perSecond, isLifted: isOver, reportedAtMs: saidAtMs } = told;
     const known = this.find(server);
-    if (!isOver) return this.#name(server, perSecond, saidAtMs, nowMs);
+    if (!isOver) return this.#record(server, perSecond, saidAtMs, nowMs);
     if (!known || known.isLifted || known.reportedAtMs >= saidAtMs) return undefined;
-    return this.#end(known, saidAtMs, nowMs);
+    return this.#lift(known, saidAtMs, nowMs);
   }
 
   /** What this life of a server said last; undefined where it has named no limit. */
@@ -89,10 +89,12 @@
   rateOf(server: BackendServer, nowMs: Milliseconds): number | undefined {
     const known = this.find(server);
     if (!known) return undefined;
-    if (!known.isLifted) return Math.max(LEAST_PER_SECOND, known.perSecond);
+    if (!known.isLifted) return Math.max(MIN_PER_SECOND, known.perSecond);
     const sinceMs = nowMs - known.reportedAtMs;
-    if (sinceMs >= RETURN_MS) return undefined;
-    return Math.max(RETURN_PER_SECOND, known.perSecond) * 2 ** (sinceMs / RETURN_DOUBLING_MS);
+    if (sinceMs >= RAMP_UP_MS) return undefined;
+    return (
+      Math.max(RAMP_UP_START_PER_SECOND, known.perSecond) * 2 ** (sinceMs / RAMP_UP_DOUBLING_MS)
+    );
   }
 
   /** Whether a server may be sent no more than a rate now. */
@@ -103,7 +105,7 @@
   /** All that is known, those that are over included; what is over for long is forgotten. */
   all(nowMs: Milliseconds): readonly ServerLimit[] {
     for (const [id, { isLifted: isOver, reportedAtMs: saidAtMs }] of this.#limits) {
-      const knownForMs = isOver ? OVER_TOLD_MS : NAMED_KNOWN_MS;
+      const knownForMs = isOver ? LIFTED_RETENTION_MS : REPORTED_RETENTION_MS;
       if (nowMs - saidAtMs > knownForMs) this.#limits.delete(id);
     }
     return [...this.#limits.values()];
@@ -114,7 +116,7 @@
     this.#limits.delete(serverId);
   }
 
-  #name(
+  #record(
     server: BackendServer,
     perSecond: number,
     saidAtMs: Milliseconds,
@@ -135,7 +137,7 @@
     return known && !known.isLifted ? 'changed' : 'named';
   }
 
-  #end(known: ServerLimit, saidAtMs: Milliseconds, nowMs: Milliseconds): LimitChange {
+  #lift(known: ServerLimit, saidAtMs: Milliseconds, nowMs: Milliseconds): LimitChange {
     this.#limits.set(known.server.id, {
       ...known,
       isLifted: true,
--- a/packages/fleet/src/share-memory.ts
+++ b/packages/fleet/src/share-memory.ts
@@ -8,9 +8,9 @@
 }
 
 /** Part of an engine's free memory that a large prompt may take; answers there still grow. */
-const SHARE_OF_FREE = 0.9;
+const MAX_SHARE_OF_FREE = 0.9;
 /** Engines store whole blocks of tokens, so sums are planned with a little more. */
-const ROUNDING_TOKENS = 64;
+const BLOCK_ROUNDING_TOKENS = 64;
 
 /** Tokens that an engine can still take. */
 export function freeMemoryTokens(load: EngineLoad, figures: EngineFigures): number {
@@ -29,13 +29,13 @@
 ): readonly MemoryShare[] | undefined {
   const free = freeMemoryTokens(writer, figures);
   if (tokens <= free) return [];
-  let left = tokens + ROUNDING_TOKENS - Math.floor(free * SHARE_OF_FREE);
+  let left = tokens + BLOCK_ROUNDING_TOKENS - Math.floor(free * MAX_SHARE_OF_FREE);
   const shares: MemoryShare[] = [];
   const byFree = [...readers].sort(
     (a, b) => freeMemoryTokens(b, figures) - freeMemoryTokens(a, figures),
   );
   for (const engine of byFree) {
-    const share = Math.min(left, Math.floor(freeMemoryTokens(engine, figures) * SHARE_OF_FREE));
+    const share = Math.min(left, Math.floor(freeMemoryTokens(engine, figures) * MAX_SHARE_OF_FREE));
     if (share <= 0) break;
     shares.push({ engine, tokens: share });
     left -= share;
--- a/packages/fleet/src/suspicions.ts
+++ b/packages/fleet/src/suspicions.ts
@@ -6,13 +6,13 @@
 }
 
 /** A server that failed is avoided for this long at first. */
-const FIRST_MS: Milliseconds = 1500;
+const INITIAL_SUSPICION_MS: Milliseconds = 1500;
 /** Each failure soon after the last doubles that, up to this: faults of a few seconds come in turns. */
-const LONGEST_MS: Milliseconds = 12_000;
+const MAX_SUSPICION_MS: Milliseconds = 12_000;
 /** A failure counts as soon after the last while the server was tried again for less than this. */
-const RELAPSE_MS: Milliseconds = 4000;
+const RELAPSE_WINDOW_MS: Milliseconds = 4000;
 /** At most this share of a service is avoided; the rest could not carry the load of all. */
-const MOST_AVOIDED_SHARE = 0.4;
+const MAX_AVOIDED_SHARE = 0.4;
 
 /** Servers that failed lately, and for how long each is avoided. */
 export class Suspicions {
@@ -22,8 +22,8 @@
   add(serverId: string, nowMs: Milliseconds): Milliseconds {
     const last = this.#suspicions.get(serverId);
     if (last && nowMs < last.untilMs) return last.untilMs - nowMs;
-    const isRelapse = last !== undefined && nowMs - last.untilMs < RELAPSE_MS;
-    const forMs = isRelapse ? Math.min(LONGEST_MS, last.forMs * 2) : FIRST_MS;
+    const isRelapse = last !== undefined && nowMs - last.untilMs < RELAPSE_WINDOW_MS;
+    const forMs = isRelapse ? Math.min(MAX_SUSPICION_MS, last.forMs * 2) : INITIAL_SUSPICION_MS;
     this.#suspicions.set(serverId, { untilMs: nowMs + forMs, forMs });
     return forMs;
   }
@@ -55,7 +55,7 @@
   /** Forgets what lies so far back that it counts for nothing. */
   expire(nowMs: Milliseconds): void {
     for (const [id, { untilMs }] of this.#suspicions) {
-      if (nowMs - untilMs >= RELAPSE_MS) this.#suspicions.delete(id);
+      if (nowMs - untilMs >= RELAPSE_WINDOW_MS) this.#suspicions.delete(id);
     }
   }
 }
@@ -71,7 +71,7 @@
  * more than two in five of many.
  */
 export function withoutAvoided<Item extends Avoidable>(items: readonly Item[]): readonly Item[] {
-  const most = items.length > 1 ? Math.max(1, Math.floor(items.length * MOST_AVOIDED_SHARE)) : 0;
+  const most = items.length > 1 ? Math.max(1, Math.floor(items.length * MAX_AVOIDED_SHARE)) : 0;
   const avoided = items.filter((item) => item.avoidedMs > 0);
   if (avoided.length === 0) return items;
   const left = new Set(
--- a/packages/fleet/src/turned-away.ts
+++ b/packages/fleet/src/turned-away.ts
@@ -1,7 +1,7 @@
 import type { Milliseconds } from '@poppypond/core';
 
 /** A server that turned a request away may do so again for a few seconds: faults and bursts last so long. */
-const LATELY_MS: Milliseconds = 3000;
+const RECENT_MS: Milliseconds = 3000;
 
 /**
  * Servers that turned a request of this host away lately. They serve many others meanwhile, so none is avoided for it;
@@ -11,20 +11,20 @@
  * much where servers turn half of their requests away.
  */
 export class RecentRejections {
-  readonly #atMs = new Map<string, Milliseconds>();
+  readonly #rejectedAtMs = new Map<string, Milliseconds>();
 
   /** A server turned a request away. */
   record(serverId: string, nowMs: Milliseconds): void {
-    this.#atMs.delete(serverId);
-    this.#atMs.set(serverId, nowMs);
+    this.#rejectedAtMs.delete(serverId);
+    this.#rejectedAtMs.set(serverId, nowMs);
   }
 
   /** Those that did so lately. */
   recentIds(nowMs: Milliseconds): readonly string[] {
-    for (const [id, atMs] of this.#atMs) {
-      if (nowMs - atMs <= LATELY_MS) break;
-      this.#atMs.delete(id);
+    for (const [id, atMs] of this.#rejectedAtMs) {
+      if (nowMs - atMs <= RECENT_MS) break;
+      this.#rejectedAtMs.delete(id);
     }
-    return [...this.#atMs.keys()];
+    return [...this.#rejectedAtMs.keys()];
   }
 }
--- a/packages/fleet/src/weigh-parts.ts
+++ b/packages/fleet/src/weigh-parts.ts
@@ -1,14 +1,14 @@
 import type { Milliseconds } from '@poppypond/core';
 import type { EngineFigures } from '@poppypond/routing';
 import type { EngineLoad } from './engine-load.js';
-import { harmOf, LATE_LOSS } from './harm.js';
+import { interferenceCost, LATE_VALUE_LOSS } from './harm.js';
 import { shareMemory } from './share-memory.js';
 import { placement } from './stream-plan.js';
 import type { StreamDemand, StreamPlacement } from './stream-plan.js';
-import { streamWorth } from './stream-worth.js';
+import { streamValue } from './stream-worth.js';
 
 /** What a long prompt is placed by. */
-export interface PartsInputs {
+export interface SplitInputs {
   readonly engines: readonly EngineLoad[];
   /** Those that may write: their memory can hold the prompt, or none's can. */
   readonly writers: readonly EngineLoad[];
@@ -19,9 +19,9 @@
 }
 
 /** The most engines that read one prompt: the writer and sixteen others. */
-export const MOST_PARTS = 17;
+export const MAX_PARTS = 17;
 /** Parts are not made shorter than this; each engine more is one more that can fail. */
-const SHORTEST_PART_MS: Milliseconds = 20;
+const MIN_PART_MS: Milliseconds = 20;
 /**
  * A first event that is foreseen within this share of the aim is early enough: fewer engines then
  * do as well, and those left alone can take in what comes meanwhile. The rest of the aim covers
@@ -41,62 +41,62 @@
 }
 
 /** A placement and what it would cost. */
-export interface Weighed {
+export interface EvaluatedSplit {
   readonly place: StreamPlacement;
   /** What the writers on the engines lose, in worth. */
-  readonly harm: number;
+  readonly interference: number;
   /** Whether its first event is expected within the aim. */
   readonly isInTime: boolean;
   /** Whether it is expected so early that fewer engines would be preferred. */
   readonly isEarly: boolean;
   /** What the writers and the prompt itself lose, in worth. */
-  readonly loss: number;
+  readonly valueLoss: number;
 }
 
 /**
  * A placement on the writer and the first of `others`, and what it would cost; undefined where
  * they can't hold the prompt together.
  */
-function weigh(
+function evaluateSplit(
   writer: EngineLoad,
   others: readonly EngineLoad[],
   parts: number,
-  { readMs, demand, figures }: PartsInputs,
-): Weighed | undefined {
+  { readMs, demand, figures }: SplitInputs,
+): EvaluatedSplit | undefined {
   const partMs = readMs / parts;
   const readers = others.slice(0, parts - 1);
   const wanted = demand.promptTokens + demand.answerTokens;
   const shares = shareMemory(writer, readers, figures, wanted);
   if (!shares) return undefined;
-  const harm = [writer, ...readers].reduce((sum, load) => sum + harmOf(load, partMs), 0);
+  const harm = [writer, ...readers].reduce((sum, load) => sum + interferenceCost(load, partMs), 0);
   const rule = harm > 0 ? 'parts_with_least_harm' : 'parts_without_harm';
   const place = { ...placement(rule, writer, readers, partMs), shares };
   const firstMs = demand.waitedMs + place.expectedFirstMs;
   const isInTime = firstMs - partMs + withOverrun(partMs) <= demand.aimMs;
-  const ownLoss = isInTime ? 0 : streamWorth(demand.promptTokens) * LATE_LOSS;
+  const ownLoss = isInTime ? 0 : streamValue(demand.promptTokens) * LATE_VALUE_LOSS;
   const isEarly = firstMs <= demand.aimMs * EARLY_SHARE;
-  return { place, harm, isInTime, isEarly, loss: harm + ownLoss };
+  return { place, interference: harm, isInTime, isEarly, valueLoss: harm + ownLoss };
 }
 
 /** Whether `one` is to be preferred to `other`, which has more parts. */
-function isBetter(one: Weighed, other: Weighed): boolean {
-  return one.loss < other.loss || (one.isEarly && one.loss === other.loss);
+function isBetter(one: EvaluatedSplit, other: EvaluatedSplit): boolean {
+  return one.valueLoss < other.valueLoss || (one.isEarly && one.valueLoss === other.valueLoss);
 }
 
 /**
  * The number of parts by which writers and prompt lose least; of equals the fewest that are early,
  * else the most. Undefined where the engines can't hold the prompt.
  */
-export function leastLoss(
-  inputs: PartsInputs,
+export function findBestSplit(
+  inputs: SplitInputs,
   writer: EngineLoad,
   others: readonly EngineLoad[],
-): Weighed | undefined {
+): EvaluatedSplit | undefined {
   const { readMs } = inputs;
-  const most = Math.min(MOST_PARTS, others.length + 1, Math.ceil(readMs / SHORTEST_PART_MS));
-  let best: Weighed | undefined;
+  const most = Math.min(MAX_PARTS, others.length + 1, Math.ceil(readMs / MIN_PART_MS));
+  let best: EvaluatedSplit | undefined;
   for (let parts = most; parts >= 1; parts -= 1) {
-    const weighed = weigh(writer, others, parts, inputs);
+    const weighed = evaluateSplit(writer, others, parts, inputs);
     if (weighed && (!best || isBetter(weighed, best))) best = weighed;
   }
   return best;
--- a/packages/routing/src/route-table.test.ts
+++ b/packages/routing/src/route-table.test.ts
@@ -1,7 +1,7 @@
 import { ManualClock } from '@poppypond/mocks';
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
-import { ActiveConfiguration } from './configuration-in-force.js';
+import { ActiveConfiguration } from './active-configuration.js';
 import type { Route, RoutingConfiguration } from './configuration.js';
 import { Freshness } from './freshness.js';
 import { chooseService, RouteTable } from './route-table.js';
