--- a/packages/routing/src/active-configuration.ts
+++ b/packages/routing/src/active-configuration.ts
@@ -1,7 +1,9 @@
 import type { RoutingConfiguration } from './configuration.js';
 import { RouteTable } from './route-table.js';
 
-/** The configuration that decides now. Within one life of the process its version only rises. */
+/**
+ * The configuration that is currently applied. While the process runs, its version only increases.
+ */
 export class ActiveConfiguration {
   #table: RouteTable | undefined;
 
@@ -13,7 +15,7 @@
     return this.#table?.version ?? 0;
   }
 
-  /** Puts a newer version in force; false where it is not newer. */
+  /** Activates a configuration; returns false if its version is not newer. */
   apply(configuration: RoutingConfiguration): boolean {
     if (this.#table && configuration.version <= this.#table.version) return false;
     this.#table = new RouteTable(configuration);
--- a/packages/routing/src/configuration.ts
+++ b/packages/routing/src/configuration.ts
@@ -1,75 +1,79 @@
 import type { Milliseconds } from '@poppypond/core';
 
 /**
- * How often a request of a route may run. `safe`: repeating does no harm. `unsafe`: once.
- * `stream`: answered by events; may be repeated only where the route is resumable.
+ * How often a request of a route may run. `safe`: any number of times, as repetition has no side
+ * effects. `unsafe`: once. `stream`: answered by events; may be repeated only if the route is
+ * resumable.
  */
 export type RouteKind = 'safe' | 'unsafe' | 'stream';
 
-/** One service that a route leads to, with its share of the traffic. */
+/** A service that a route sends requests to, with its share of the traffic. */
 export interface RouteTarget {
   readonly service: string;
   readonly weight: number;
 }
 
-/** Where requests of one host name and path prefix go, and how they are treated. */
+/** The targets of requests with one host name and path prefix, and how they are handled. */
 export interface Route {
   readonly name: string;
   readonly hostName: string;
   /** Begins and ends with a slash. */
   readonly pathPrefix: string;
   readonly kind: RouteKind;
-  /** Whether a broken stream may be taken up at another backend server. */
+  /** Whether a broken stream may be resumed on another backend server. */
   readonly isResumable: boolean;
   readonly targets: readonly RouteTarget[];
-  /** The most backend servers that one request may be sent to. */
+  /** Maximum number of backend servers that one request may be sent to. */
   readonly maxAttempts: number;
-  /** The longest that a request may be held. */
+  /** Time limit of a request. */
   readonly timeoutMs: Milliseconds;
-  /** The time in which an answer, or the first event of a stream, is worth most. */
+  /** Latency target of an answer, or of the first event of a stream; a late one has less value. */
   readonly aimMs: Milliseconds;
-  /** The longest pause between events with which a stream is still in time. */
+  /** Target of the gap between events: the longest one with which a stream is still in time. */
   readonly gapAimMs: Milliseconds;
   /** 0 is the most urgent. */
   readonly priority: number;
-  /** Whether requests need no key. */
+  /** Whether requests are accepted without an API key. */
   readonly isAuthExempt: boolean;
 }
 
-/** The figures from which an engine's times follow. See docs/ENGINE-TIMES.md. */
+/** Parameters of the timing model of a model engine. See docs/ENGINE-TIMES.md. */
 export interface EngineFigures {
-  /** Requests that write at once. */
+  /** Number of requests that are decoded concurrently. */
   readonly slots: number;
-  /** Tokens of prompts and answers that fit into the engine's memory. */
+  /** Capacity of the KV cache in tokens of prompts and answers. */
   readonly memoryTokens: number;
-  /** Steps in one pass; each writes one token for every writer. */
+  /** Decode steps per pass; each step produces one token for every writer. */
   readonly stepsPerPass: number;
+  /** Fixed time of a step. */
   readonly stepMs: Milliseconds;
+  /** Added to each step for every writer. */
   readonly stepMsPerSequence: Milliseconds;
-  /** Added to each step for every thousand tokens that its writers have in memory. */
+  /** Added to each step for every thousand context tokens of its writers. */
   readonly stepMsPerThousandTokens: Milliseconds;
   readonly prefillTokensPerMs: number;
-  /** Prompt tokens that one step takes in at most. */
+  /** Maximum number of prompt tokens per step. */
   readonly prefillTokensPerStep: number;
-  /** Added to reading for every million pairs of a token and an earlier one. */
+  /** Added to the prefill for every million attention pairs of a token and an earlier one. */
   readonly prefillMsPerMillionPairs: Milliseconds;
   readonly usualAnswerTokens: number;
 }
 
-/** A service that routes lead to. Model engines have figures, plain services have none. */
+/** A service that routes send requests to. */
 export interface ServiceDescription {
   readonly name: string;
+  /** Timing parameters of the model engines; undefined for a plain service. */
   readonly engine: EngineFigures | undefined;
 }
 
-/** A workspace and the keys by which its callers are known. */
+/** A workspace and the API keys that identify its callers. */
 export interface WorkspaceKeys {
   readonly name: string;
   readonly keys: readonly string[];
   readonly priority: number | undefined;
 }
 
-/** What callers may send and how long they may take. */
+/** Limits on the size of requests and the time to send them. */
 export interface CallerLimits {
   readonly maxHeaderBytes: number;
   readonly maxBodyBytes: number;
@@ -77,12 +81,15 @@
   readonly idleTimeoutMs: Milliseconds;
 }
 
-/** One version of everything that operators set. Versions rise; they need not be consecutive. */
+/**
+ * One version of the operators' configuration. Versions increase, but are not necessarily
+ * consecutive.
+ */
 export interface RoutingConfiguration {
   readonly version: number;
   readonly routes: readonly Route[];
   readonly services: readonly ServiceDescription[];
-  /** Empty where callers need no keys. */
+  /** Empty if callers need no keys. */
   readonly workspaces: readonly WorkspaceKeys[];
   readonly limits: CallerLimits;
 }
--- a/packages/routing/src/freshness.ts
+++ b/packages/routing/src/freshness.ts
@@ -1,24 +1,24 @@
 import type { Clock, Milliseconds } from '@poppypond/core';
 
 /**
- * How recently something known of the store was proved to be the newest. Only instants of the
- * monotonic clock count, and each proof is dated from before the question was asked, so a
- * pause of the process or a slow answer makes it look older, never fresher.
+ * Tracks when a copy of store data was last confirmed to be the newest version. Times are of the
+ * monotonic clock, and callers date each confirmation from before they sent the query, so a process
+ * pause or a slow answer makes the copy look older, never fresher.
  */
 export class Freshness {
-  #provedAtMs: Milliseconds | undefined;
+  #confirmedAtMs: Milliseconds | undefined;
 
   constructor(readonly clock: Clock) {}
 
-  /** Notes that what is known was the newest at `instantMs` or later. */
+  /** Records that the copy was the newest version at `instantMs` or later. */
   confirm(instantMs: Milliseconds): void {
-    if (this.#provedAtMs === undefined || instantMs > this.#provedAtMs)
-      this.#provedAtMs = instantMs;
+    if (this.#confirmedAtMs === undefined || instantMs > this.#confirmedAtMs)
+      this.#confirmedAtMs = instantMs;
   }
 
-  /** Time since the last proof; infinite before the first. */
+  /** Returns the time since the last confirmation; infinite before the first. */
   ageMs(): Milliseconds {
-    if (this.#provedAtMs === undefined) return Number.POSITIVE_INFINITY;
-    return this.clock.monotonicMs() - this.#provedAtMs;
+    if (this.#confirmedAtMs === undefined) return Number.POSITIVE_INFINITY;
+    return this.clock.monotonicMs() - this.#confirmedAtMs;
   }
 }
--- a/packages/routing/src/key-trust.ts
+++ b/packages/routing/src/key-trust.ts
@@ -1,31 +1,38 @@
 import type { Milliseconds } from '@poppypond/core';
 
 /**
- * Whether keys count by the configuration in force. `proved`: it was the newest a short while ago.
- * `unproved`: nothing says so, but nothing newer is known either, and the installation prefers
- * service to the bound on removed keys. `refused`: keys don't count.
+ * Whether API keys are accepted by the active configuration. `proved`: it was confirmed as the
+ * newest version recently enough. `unproved`: it was not, but no newer version is known, and the
+ * installation prefers availability to the time bound for removed keys. `refused`: keys are not
+ * accepted.
  */
 export type KeyVerdict = 'proved' | 'unproved' | 'refused';
 
-/** What decides whether keys count. */
+/** State that decides whether keys are accepted. */
 export interface KeyTrustInputs {
-  /** Time since the configuration in force was proved the newest; infinite before that. */
+  /**
+   * Time since the active configuration was confirmed as the newest version; infinite before the
+   * first confirmation.
+   */
   readonly ageMs: Milliseconds;
-  /** Whether a peer is known to have a newer configuration. */
+  /** Whether a peer has reported a newer configuration. */
   readonly isBehind: boolean;
 }
 
-/** What operators set: see `keysTrustedMs` and `keysNeedProof` of the relay's settings. */
+/** Settings of the operator; see `keysTrustedMs` and `keysNeedProof` in the relay's settings. */
 export interface KeyTrustSettings {
-  /** A proof counts for this long. */
+  /** How long a confirmation is valid. */
   readonly trustedMs: Milliseconds;
-  /** Whether keys are refused without proof; else the last known configuration goes on to hold. */
+  /**
+   * Whether keys are refused without a valid confirmation; otherwise the last known configuration
+   * stays in use.
+   */
   readonly needsConfirmation: boolean;
 }
 
 /**
- * Decides whether keys count. A configuration that a peer has replaced never serves without proof,
- * so no host goes by an older one than it has been told of.
+ * Decides whether keys are accepted. Without a valid confirmation, a configuration is not used if a
+ * peer has reported a newer one, so no host uses an older version than it has been told of.
  */
 export function judgeKeys(settings: KeyTrustSettings, inputs: KeyTrustInputs): KeyVerdict {
   if (inputs.ageMs <= settings.trustedMs) return 'proved';
--- a/packages/routing/src/route-table.test.ts
+++ b/packages/routing/src/route-table.test.ts
@@ -39,7 +39,7 @@
     configuration(1, [route('top', '/'), route('a', '/a/'), route('ab', '/a/b/')]),
   );
 
-  it('takes the longest prefix of whole segments, without the query', () => {
+  it('matches the longest prefix of whole path segments and ignores the query', () => {
     expect(table.match('a.example', '/a/b/c?x=/')?.name).toBe('ab');
     expect(table.match('A.example', '/a/bc')?.name).toBe('a');
     expect(table.match('a.example', '/ab/')?.name).toBe('top');
@@ -47,13 +47,13 @@
     expect(table.match('b.example', '/a/')).toBeUndefined();
   });
 
-  it('splits by weight', () => {
+  it('splits traffic by weight', () => {
     const targets = [
       { service: 'x', weight: 90 },
       { service: 'y', weight: 10 },
     ];
     const split = route('s', '/', { targets });
-    expect([0, 0.89, 0.9, 0.999].map((draw) => chooseService(split, draw))).toEqual([
+    expect([0, 0.89, 0.9, 0.999].map((random) => chooseService(split, random))).toEqual([
       'x',
       'x',
       'y',
@@ -68,29 +68,32 @@
     expect(chooseService(closed, 0)).toBe('y');
   });
 
-  it('knows keys', () => {
+  it('finds the workspace of a key', () => {
     expect(table.workspaceOf('k')?.name).toBe('wheat');
     expect(table.workspaceOf('other')).toBeUndefined();
   });
 });
 
-describe('ConfigurationInForce', () => {
-  it('never goes back, in whatever order versions come', () => {
+describe('ActiveConfiguration', () => {
+  it('never goes back to an older version, in whatever order versions arrive', () => {
     fc.assert(
       fc.property(fc.array(fc.nat(50)), (versions) => {
-        const inForce = new ActiveConfiguration();
+        const active = new ActiveConfiguration();
         let highest = 0;
         for (const version of versions) {
-          inForce.apply(configuration(version, []));
+          active.apply(configuration(version, []));
           highest = Math.max(highest, version);
-          expect(inForce.version).toBe(highest);
+          expect(active.version).toBe(highest);
         }
       }),
     );
   });
 });
 
-/** A step of a store that changes, is asked, answers late, and of a process that pauses. */
+/**
+ * A step of a simulation: the store changes, is queried or answers, perhaps late, or time passes,
+ * as in a process pause.
+ */
 type Step =
   | { readonly kind: 'change' }
   | { readonly kind: 'ask' }
@@ -106,26 +109,29 @@
 
 const TRUSTED_MS = 5000;
 
-/** Plays steps; true where a key counted for longer after its removal than it may. */
+/**
+ * Simulates the steps; returns true if a key was trusted for longer than `TRUSTED_MS` after its
+ * removal.
+ */
 function keyOutlivesRemoval(
   steps: readonly Step[],
-  date: (askedAtMs: number, nowMs: number) => number,
+  confirmationTime: (askedAtMs: number, nowMs: number) => number,
 ) {
   const clock = new ManualClock();
   const freshness = new Freshness(clock);
   let storeVersion = 1;
   let known = 0;
   const changedAt = new Map<number, number>();
-  let question: { readonly askedAtMs: number; readonly answered: number } | undefined;
+  let query: { readonly askedAtMs: number; readonly answered: number } | undefined;
   for (const step of steps) {
     const nowMs = clock.monotonicMs();
     if (step.kind === 'pass') clock.skip(step.ms);
     if (step.kind === 'change') changedAt.set((storeVersion += 1), nowMs);
-    if (step.kind === 'ask') question ??= { askedAtMs: nowMs, answered: storeVersion };
-    if (step.kind === 'answer' && question) {
-      known = Math.max(known, question.answered);
-      freshness.confirm(date(question.askedAtMs, nowMs));
-      question = undefined;
+    if (step.kind === 'ask') query ??= { askedAtMs: nowMs, answered: storeVersion };
+    if (step.kind === 'answer' && query) {
+      known = Math.max(known, query.answered);
+      freshness.confirm(confirmationTime(query.askedAtMs, nowMs));
+      query = undefined;
     }
     const nextChangeMs = changedAt.get(known + 1) ?? Number.POSITIVE_INFINITY;
     const isTrusted = freshness.ageMs() < TRUSTED_MS;
@@ -135,7 +141,7 @@
 }
 
 describe('Freshness', () => {
-  it('trusts no key for longer than it may after its removal, however late answers come', () => {
+  it('trusts no removed key for longer than allowed, however late answers arrive', () => {
     fc.assert(
       fc.property(fc.array(stepArbitrary, { maxLength: 60 }), (steps) => {
         expect(keyOutlivesRemoval(steps, (askedAtMs) => askedAtMs)).toBe(false);
@@ -144,7 +150,7 @@
     );
   });
 
-  it('would trust one too long if answers were dated when they come (planted fault)', () => {
+  it('trusts a removed key for too long if answers are dated by their arrival (injected fault)', () => {
     const found = fc.check(
       fc.property(
         fc.array(stepArbitrary, { maxLength: 60 }),
--- a/packages/routing/src/route-table.ts
+++ b/packages/routing/src/route-table.ts
@@ -9,10 +9,13 @@
   return right.pathPrefix.length - left.pathPrefix.length;
 }
 
-/** Picks a target by weight; `draw` is a uniform random number in [0, 1). */
-export function chooseService(route: Route, draw: number): string | undefined {
+/**
+ * Chooses a target by weight; `random` is a uniform number in [0, 1). Returns undefined if the
+ * route has no targets.
+ */
+export function chooseService(route: Route, random: number): string | undefined {
   const total = route.targets.reduce((sum, target) => sum + target.weight, 0);
-  let left = draw * total;
+  let left = random * total;
   for (const target of route.targets) {
     if (left < target.weight) return target.service;
     left -= target.weight;
@@ -20,7 +23,7 @@
   return route.targets.at(-1)?.service;
 }
 
-/** Looks up routes, services and keys of one configuration version. */
+/** Indexes the routes, services and keys of one configuration version. */
 export class RouteTable {
   readonly version: number;
   readonly #routesByHost = new Map<string, readonly Route[]>();
@@ -49,7 +52,10 @@
     for (const [host, routes] of grouped) this.#routesByHost.set(host, routes.sort(longestFirst));
   }
 
-  /** The route with the longest prefix of `path`, which may carry a query. */
+  /**
+   * Returns the route with the longest prefix of `path`, whose query is ignored; undefined if none
+   * matches.
+   */
   match(hostName: string, path: string): Route | undefined {
     const routes = this.#routesByHost.get(hostName.toLowerCase());
     const plainPath = path.split('?', 1)[0] ?? path;
