--- a/packages/fleet/src/followed-request.ts
+++ b/packages/fleet/src/followed-request.ts
@@ -4,34 +4,40 @@
 import { NO_TERMINATIONS } from './quarantine.js';
 import type { QuarantineEntry, TerminationHistory, QuarantineVerdict } from './quarantine.js';
 
-/** What a host knows of requests under which servers ended, by its own clock and under its own name. */
+/** The quarantine as seen by one host, which supplies its own clock and name. */
 export interface QuarantineRegistry {
-  /** Whether a request whose name begins with `hint` may be known. */
-  mayContain(hint: () => string): boolean;
+  /** Whether there may be an entry for a request with this content id prefix. */
+  mayContain(prefix: () => string): boolean;
   find(content: string): QuarantineEntry | undefined;
   historyOf(content: string): TerminationHistory;
-  /** Whether a request may run now. */
+  /** Decides whether a request may run now. */
   judge(content: string): QuarantineVerdict;
-  /** How long this host holds a request still that it holds. */
+  /** Returns the remaining time for which this host holds a quarantined request. */
   quarantinedForMs(entry: QuarantineEntry): Milliseconds;
-  /** A server ended under a run that began when `began` was known; what is known now. */
+  /**
+   * Records a termination during a run that began with the history `began`; returns the updated
+   * entry.
+   */
   onTermination(content: string, began: TerminationHistory, server: string): QuarantineEntry;
   onServed(content: string): void;
 }
 
-/** What keeps a request from being run. */
+/** The quarantine entry that keeps a request from running. */
 export interface QuarantineHold {
   readonly entry: QuarantineEntry;
-  /** For how long still. */
+  /** Remaining hold time. */
   readonly forMs: Milliseconds;
 }
 
-/** One request, and what is known of servers that ended under it, over its attempts. */
+/** Tracks the terminations of servers during the attempts of one request. */
 export class FollowedRequest {
   readonly #id: ContentId;
-  /** What was known as each attempt began, by its id; removed once its server is known to have ended. */
+  /**
+   * History known when each attempt began, by attempt id; removed once its server is known to have
+   * terminated.
+   */
   readonly #historyAtStart = new Map<string, TerminationHistory>();
-  /** What was known after the last end under an attempt of this request. */
+  /** History after the last termination during an attempt of this request. */
   #ownHistory: TerminationHistory = NO_TERMINATIONS;
   #isTrial = false;
 
@@ -42,17 +48,20 @@
     this.#id = new ContentId(content);
   }
 
-  /** Names the request; its body is hashed when this is first asked for. */
+  /** Content id of the request; the body is hashed at the first access. */
   get content(): string {
     return this.#id.full;
   }
 
-  /** Ends under it that are known. */
+  /** Number of known terminations. */
   get ends(): number {
     return this.known.historyOf(this.content).ends;
   }
 
-  /** What keeps it from being run now; undefined where nothing does. */
+  /**
+   * Returns the hold that keeps the request from running now; undefined if it may run, also as a
+   * trial.
+   */
   checkHold(): QuarantineHold | undefined {
     if (this.#isTrial || !this.#mayBeRegistered()) return undefined;
     const verdict = this.known.judge(this.content);
@@ -61,7 +70,7 @@
     return entry && { entry, forMs: this.known.quarantinedForMs(entry) };
   }
 
-  /** An attempt begins. */
+  /** Records the start of an attempt. */
   begin(attempt: string): void {
     this.#historyAtStart.set(
       attempt,
@@ -69,7 +78,10 @@
     );
   }
 
-  /** A server ended under an attempt; counts once for each, after those of the attempts before it. */
+  /**
+   * Records that a server terminated during an attempt; counts once per attempt, on top of the
+   * earlier attempts.
+   */
   onTerminated(attempt: string, server: string): void {
     const began = this.#historyAtStart.get(attempt);
     if (!began) return;
@@ -81,7 +93,7 @@
     this.#ownHistory = this.known.onTermination(this.content, { round, ends }, server);
   }
 
-  /** It was served. */
+  /** Records that the request was served. */
   onServed(): void {
     if (this.#mayBeRegistered()) this.known.onServed(this.content);
   }
--- a/packages/fleet/src/quarantine-days.test.ts
+++ b/packages/fleet/src/quarantine-days.test.ts
@@ -4,10 +4,11 @@
 import type { QuarantineEntry, TerminationHistory } from './quarantine.js';
 
 /*
- * Which load this answers: hosts before engines that end for every reason there is (single ones, a zone, all of a service,
- * in silence, by a release in turn, behind resets that end no server), while one request in three is the same as
- * others that run at that moment, and on every third day a request comes again and again that ends each engine
- * that runs it. Innocent requests are not to be held back; that one is.
+ * Simulates hosts in front of engines that terminate for all kinds of reasons: single engines, an
+ * availability zone, a whole service, without closing connections, or in a rolling release.
+ * Connection resets without a termination occur too. One request in three is identical to others
+ * that run at the same time. On every third day a fatal request arrives again and again that
+ * terminates each engine that runs it. It must be quarantined, and regular requests must not.
  */
 
 const HOSTS = 8;
@@ -23,30 +24,33 @@
 const FATAL = 'fatal-';
 const FATAL_EVERY_MS = 400;
 const FATAL_FOR_MS = 20_000;
-/** What three ends mean is to be known everywhere within this time, and innocent requests free again. */
+/**
+ * Within this time after the third termination all hosts must know of it, and regular requests must
+ * be released.
+ */
 const CONVERGENCE_MS = 3000;
 
 type Action = () => void;
 
-/** Acts in the order of their instants. */
+/** Runs actions in the order of their times. */
 class EventQueue {
   nowMs = 0;
   readonly #buckets = new Map<number, Action[]>();
 
-  at(atMs: number, act: Action): void {
+  at(atMs: number, action: Action): void {
     const key = Math.max(Math.ceil(atMs), Math.floor(this.nowMs) + 1);
     const bucket = this.#buckets.get(key);
-    if (bucket) bucket.push(act);
-    else this.#buckets.set(key, [act]);
+    if (bucket) bucket.push(action);
+    else this.#buckets.set(key, [action]);
   }
 
-  after(delayMs: number, act: Action): void {
-    this.at(this.nowMs + delayMs, act);
+  after(delayMs: number, action: Action): void {
+    this.at(this.nowMs + delayMs, action);
   }
 
   run(untilMs: number): void {
     for (; this.nowMs < untilMs; this.nowMs += 1) {
-      for (const act of this.#buckets.get(this.nowMs) ?? []) act();
+      for (const action of this.#buckets.get(this.nowMs) ?? []) action();
       this.#buckets.delete(this.nowMs);
     }
   }
@@ -54,9 +58,9 @@
 
 interface Run {
   readonly isFatal: boolean;
-  /** The connection broke; what the host finds out of its server. */
+  /** The connection broke; `found` is what the host finds out about the server. */
   readonly onBroken: (found: 'ended' | 'lives') => void;
-  readonly onWhole: () => void;
+  readonly onCompleted: () => void;
 }
 
 interface Server {
@@ -65,7 +69,7 @@
   runs: Set<Run>;
 }
 
-/** One day of a fleet. */
+/** One simulated day of a fleet. */
 class SimulatedDay {
   readonly #events = new EventQueue();
   readonly #hosts = Array.from({ length: HOSTS }, () => new Quarantine());
@@ -75,44 +79,47 @@
     runs: new Set(),
   }));
   regularRequests = 0;
-  /** Innocent requests that were held back, and those of them later than 3 s after the third end. */
+  /**
+   * Regular requests that were held, and those of them held more than 3 s after the last
+   * termination.
+   */
   regularHeld = 0;
   regularHeldLate = 0;
   fatalRunTimes: number[] = [];
   readonly fatalTerminationTimes: number[] = [];
 
   constructor(
-    readonly draw: () => number,
+    readonly random: () => number,
     readonly hasFatal: boolean,
   ) {}
 
-  play(): void {
+  simulate(): void {
     for (let index = 0; index < REQUESTS_PER_DAY; index += 1)
-      this.#planRequest(this.draw() * DAY_MS);
-    const faults = 5 + Math.floor(this.draw() * 6);
-    for (let index = 0; index < faults; index += 1) this.#planFault(this.draw() * DAY_MS);
+      this.#scheduleRequest(this.random() * DAY_MS);
+    const faults = 5 + Math.floor(this.random() * 6);
+    for (let index = 0; index < faults; index += 1) this.#scheduleFault(this.random() * DAY_MS);
     for (let atMs = 0; atMs < DAY_MS; atMs += HEARTBEAT_PERIOD_MS) {
       this.#events.at(atMs, () => this.#sendHeartbeats());
     }
-    const fatalFromMs = this.draw() * (DAY_MS - FATAL_FOR_MS);
+    const fatalFromMs = this.random() * (DAY_MS - FATAL_FOR_MS);
     for (let ms = 0; this.hasFatal && ms < FATAL_FOR_MS; ms += FATAL_EVERY_MS) {
       this.#events.at(fatalFromMs + ms, () => this.#try(FATAL, true, MAX_TRIES));
     }
     this.#events.run(DAY_MS + 10_000);
   }
 
-  /** One request in three is one of four that everybody asks in that second. */
-  #planRequest(atMs: number): void {
-    const second = Math.floor(atMs / 5000);
-    const isShared = this.draw() < 0.33;
-    const name = isShared ? `hot${String(second)}${String(Math.floor(this.draw() * 4))}` : '';
-    const content = isShared ? `${name}-------` : `own---${String(this.draw())}`;
+  /** Schedules a request; one in three is one of four that many callers send in the same 5 s. */
+  #scheduleRequest(atMs: number): void {
+    const period = Math.floor(atMs / 5000);
+    const isShared = this.random() < 0.33;
+    const name = isShared ? `hot${String(period)}${String(Math.floor(this.random() * 4))}` : '';
+    const content = isShared ? `${name}-------` : `own---${String(this.random())}`;
     this.regularRequests += 1;
     this.#events.at(atMs, () => this.#try(content, false, MAX_TRIES));
   }
 
   #try(content: string, isFatal: boolean, triesLeft: number): void {
-    const host = Math.floor(this.draw() * HOSTS);
+    const host = Math.floor(this.random() * HOSTS);
     this.#attempt(host, content, isFatal, MAX_ATTEMPTS, triesLeft, 0);
   }
 
@@ -122,7 +129,7 @@
     isFatal: boolean,
     attemptsLeft: number,
     triesLeft: number,
-    ownEnds: number,
+    ownTerminations: number,
   ): void {
     const quarantine = this.#hosts[host];
     if (!quarantine) return;
@@ -130,7 +137,7 @@
       if (attemptsLeft > 1) {
         this.#attempt(host, content, isFatal, attemptsLeft - 1, triesLeft, ends);
       } else if (triesLeft > 1) {
-        this.#events.after(50 + this.draw() * 300, () =>
+        this.#events.after(50 + this.random() * 300, () =>
           this.#try(content, isFatal, triesLeft - 1),
         );
       }
@@ -139,24 +146,25 @@
       if (!isFatal) this.#onRegularHeld(quarantine.find(content));
       return;
     }
-    // Ended servers are listed for some seconds: such an attempt is not sent, and counts for nothing.
-    const server = this.#servers[Math.floor(this.draw() * SERVERS)];
+    // Terminated servers stay listed for some seconds; an attempt at one of them is not sent and
+    // does not count.
+    const server = this.#servers[Math.floor(this.random() * SERVERS)];
     if (!server?.isUp) {
-      this.#events.after(5, () => again(ownEnds));
+      this.#events.after(5, () => again(ownTerminations));
       return;
     }
     const known = quarantine.historyOf(content);
-    const began: TerminationHistory = { ...known, ends: Math.max(known.ends, ownEnds) };
+    const began: TerminationHistory = { ...known, ends: Math.max(known.ends, ownTerminations) };
     const run: Run = {
       isFatal,
       onBroken: (found) => {
-        if (found === 'lives') return again(ownEnds);
+        if (found === 'lives') return again(ownTerminations);
         const end = { server: 's', host: 'h', atMs: this.#events.nowMs };
         const entry = quarantine.onTermination(content, began, end);
         this.#broadcast(host, entry);
         again(entry.ends);
       },
-      onWhole: () => {
+      onCompleted: () => {
         const entry = quarantine.onServed(content, this.#events.nowMs);
         if (entry) this.#broadcast(host, entry);
       },
@@ -181,33 +189,33 @@
       });
       return;
     }
-    const size = this.draw();
-    const tookMs = size < 0.8 ? 300 : size < 0.95 ? 1000 : 4000;
-    this.#events.after(tookMs * (0.5 + this.draw()), () => {
-      if (server.runs.delete(run)) run.onWhole();
+    const size = this.random();
+    const durationMs = size < 0.8 ? 300 : size < 0.95 ? 1000 : 4000;
+    this.#events.after(durationMs * (0.5 + this.random()), () => {
+      if (server.runs.delete(run)) run.onCompleted();
     });
   }
 
-  /** A server ends; hosts find that out after `foundAfterMs`. */
+  /** Terminates a server; hosts detect it after `foundAfterMs`. */
   #terminate(server: Server, foundAfterMs: number, backAfterMs: number): void {
     if (!server.isUp) return;
     server.isUp = false;
     const { runs } = server;
     server.runs = new Set();
     for (const run of runs) {
-      this.#events.after(foundAfterMs + this.draw() * 5, () => run.onBroken('ended'));
+      this.#events.after(foundAfterMs + this.random() * 5, () => run.onBroken('ended'));
     }
     this.#events.after(backAfterMs, () => {
       server.isUp = true;
     });
   }
 
-  #planFault(atMs: number): void {
-    const kind = Math.floor(this.draw() * 6);
-    const zone = Math.floor(this.draw() * ZONES);
-    const share = 0.1 + this.draw() * 0.4;
-    const pick = () => this.#servers.filter(() => this.draw() < share);
-    const backAfterMs = 1500 + this.draw() * 4000;
+  #scheduleFault(atMs: number): void {
+    const kind = Math.floor(this.random() * 6);
+    const zone = Math.floor(this.random() * ZONES);
+    const share = 0.1 + this.random() * 0.4;
+    const pick = () => this.#servers.filter(() => this.random() < share);
+    const backAfterMs = 1500 + this.random() * 4000;
     this.#events.at(atMs, () => {
       if (kind === 0) for (const server of pick()) this.#terminate(server, 2, backAfterMs);
       if (kind === 1) for (const server of pick()) this.#terminate(server, 900, backAfterMs);
@@ -223,13 +231,13 @@
 
   #reset(server: Server): void {
     for (const run of [...server.runs]) {
-      if (this.draw() < 0.5) continue;
+      if (this.random() < 0.5) continue;
       server.runs.delete(run);
       this.#events.after(2, () => run.onBroken('lives'));
     }
   }
 
-  /** Servers are replaced one after the other, and end with what they still run. */
+  /** Replaces servers one after another; each terminates while it still runs requests. */
   #release(servers: readonly Server[]): void {
     servers.forEach((server, index) => {
       this.#events.after(index * 1000, () => this.#terminate(server, 2, 1000));
@@ -238,15 +246,15 @@
 
   #broadcast(from: number, entry: QuarantineEntry): void {
     this.#hosts.forEach((_other, to) => {
-      if (to !== from && this.draw() > MESSAGE_LOSS_SHARE) this.#send(to, entry);
+      if (to !== from && this.random() > MESSAGE_LOSS_SHARE) this.#send(to, entry);
     });
   }
 
   #send(to: number, entry: QuarantineEntry): void {
-    this.#events.after(2 + this.draw() * 40, () => this.#hosts[to]?.merge(entry));
+    this.#events.after(2 + this.random() * 40, () => this.#hosts[to]?.merge(entry));
   }
 
-  /** The first two hosts and all others tell each other what is newest. */
+  /** The first two hosts and all others exchange their newest entries. */
   #sendHeartbeats(): void {
     this.#hosts.forEach((host, index) => {
       for (const first of [0, 1]) {
@@ -263,33 +271,32 @@
   return () => (generator.next() >>> 0) / 2 ** 32;
 }
 
-describe('Quarantine on drawn days', () => {
-  /*
-   * Of 1,008,000 innocent requests of 720 days 15 were held back within 3 s of a third end, and none later.
-   */
-  it('holds innocent requests back for no longer than 3 s, and no more than 1 in 10,000 at all', () => {
-    let innocents = 0;
+describe('Quarantine in simulated days', () => {
+  // In 720 simulated days, 15 of 1,008,000 regular requests were held within 3 s of a third
+  // termination, and none runsAfter.
+  it('holds regular requests for at most 3 s, and at most 1 in 10,000 of them at all', () => {
+    let regular = 0;
     let held = 0;
-    let heldLater = 0;
+    let heldLate = 0;
     for (let seed = 1; seed <= DAYS; seed += 1) {
       const day = new SimulatedDay(seededRandom(seed), seed % 3 === 0);
-      day.play();
-      innocents += day.regularRequests;
+      day.simulate();
+      regular += day.regularRequests;
       held += day.regularHeld;
-      heldLater += day.regularHeldLate;
+      heldLate += day.regularHeldLate;
     }
-    expect(innocents).toBeGreaterThanOrEqual(100_000);
-    expect(heldLater).toBe(0);
+    expect(regular).toBeGreaterThanOrEqual(100_000);
+    expect(heldLate).toBe(0);
     expect(held).toBeLessThanOrEqual(10);
   });
 
-  it('runs a request that ends engines no more than three times once that is known', () => {
+  it('runs a fatal request at most three more times once it is known', () => {
     for (let seed = 1; seed <= DAYS; seed += 1) {
       const day = new SimulatedDay(seededRandom(seed), true);
-      day.play();
+      day.simulate();
       const knownAtMs = (day.fatalTerminationTimes[2] ?? Infinity) + CONVERGENCE_MS;
-      const later = day.fatalRunTimes.filter((atMs) => atMs > knownAtMs).length;
-      expect(later, `seed ${String(seed)}`).toBeLessThanOrEqual(3);
+      const runsAfter = day.fatalRunTimes.filter((atMs) => atMs > knownAtMs).length;
+      expect(runsAfter, `seed ${String(seed)}`).toBeLessThanOrEqual(3);
     }
   });
 });
--- a/packages/fleet/src/quarantine.test.ts
+++ b/packages/fleet/src/quarantine.test.ts
@@ -10,7 +10,7 @@
   return { server, host: 'host-1', atMs };
 }
 
-/** Servers end under a request one after the other, found at `atMs`. */
+/** Records consecutive terminations of servers during runs of a request, detected at `atMs`. */
 function terminateInTurn(quarantine: Quarantine, content: string, times: number, atMs = 0): void {
   for (let index = 0; index < times; index += 1) {
     quarantine.onTermination(
@@ -22,7 +22,7 @@
 }
 
 describe('Quarantine', () => {
-  it('holds a request after three ends one after the other, and no other one', () => {
+  it('holds a request after three consecutive terminations, and no other request', () => {
     const quarantine = new Quarantine();
     terminateInTurn(quarantine, A, 2);
     expect(quarantine.judge(A, 1)).toBe('free');
@@ -33,14 +33,14 @@
     expect(quarantine.mayContain(() => 'other')).toBe(false);
   });
 
-  it('counts ends under runs that began before the first end was known once, however many', () => {
+  it('counts any number of terminations during runs that began before the first one was known as one', () => {
     const quarantine = new Quarantine();
     const began = Array.from({ length: 20 }, () => quarantine.historyOf(A));
-    for (const standing of began) quarantine.onTermination(A, standing, end('s'));
+    for (const history of began) quarantine.onTermination(A, history, end('s'));
     expect(quarantine.find(A)?.ends).toBe(1);
   });
 
-  it('frees a request at its first good answer, also if ends of before are found later', () => {
+  it('releases a request at its first complete answer, even if earlier terminations are detected later', () => {
     const quarantine = new Quarantine();
     const before = quarantine.historyOf(A);
     terminateInTurn(quarantine, A, MAX_TERMINATIONS);
@@ -49,7 +49,7 @@
     expect(quarantine.onTermination(A, before, end('late')).ends).toBe(1);
   });
 
-  it('gives one trial after twenty seconds, and the next after four times as long', () => {
+  it('grants one trial after twenty seconds, and the next after four times as long', () => {
     const quarantine = new Quarantine();
     terminateInTurn(quarantine, A, MAX_TERMINATIONS);
     expect(quarantine.judge(A, 19_999)).toBe('held');
@@ -61,7 +61,7 @@
     expect(quarantine.judge(A, 100_100)).toBe('trial');
   });
 
-  it('forgets what is long over, and keeps a thousand requests at the most, those that are held first', () => {
+  it('drops old entries, and keeps at most 1024, preferably those that are held', () => {
     const quarantine = new Quarantine();
     terminateInTurn(quarantine, A, MAX_TERMINATIONS, 0);
     for (let index = 0; index < 5000; index += 1)
@@ -75,7 +75,7 @@
     expect(quarantine.mayContain(() => A.slice(0, 6))).toBe(false);
   });
 
-  it('tells peers the newest entries each time and the others by turns', () => {
+  it('sends peers the newest entries each time and the others in rotation', () => {
     const quarantine = new Quarantine();
     for (let index = 0; index < 40; index += 1)
       terminateInTurn(quarantine, `c-${String(index)}`, 1);
@@ -89,7 +89,7 @@
     expect(told.size).toBe(40);
   });
 
-  it('agrees with all others once each has heard all, in whatever order and how often', () => {
+  it('converges to the same state in whatever order and however often entries are merged', () => {
     const entry = fc.record({
       content: fc.constantFrom(A, B),
       round: fc.nat(3),
@@ -120,8 +120,8 @@
       fc.property(
         fc.array(entry, { maxLength: 12 }),
         fc.infiniteStream(fc.nat()),
-        (drawn, order) => {
-          const entries = drawn.map(toEntry);
+        (inputs, order) => {
+          const entries = inputs.map(toEntry);
           const others = [...entries, ...entries]
             .map((told) => ({ told, place: order.next().value ?? 0 }))
             .sort((one, other) => one.place - other.place)
--- a/packages/fleet/src/quarantine.ts
+++ b/packages/fleet/src/quarantine.ts
@@ -1,62 +1,76 @@
 import type { Milliseconds } from '@poppypond/core';
 import { prefixOf } from './content-id.js';
 
-/** A server that ended while it ran a request. */
+/** The termination (crash, kill or restart) of a server while it ran a request. */
 export interface ServerTermination {
   readonly server: string;
-  /** The host whose attempt it was. */
+  /** The host that made the attempt. */
   readonly host: string;
-  /** When the end was found, on this process's clock. */
+  /** When the termination was detected, on this process's monotonic clock. */
   readonly atMs: Milliseconds;
 }
 
-/** What is known of one request under which servers have ended. */
+/** The state of one request that servers terminated while running. */
 export interface QuarantineEntry {
-  /** Names the request by what it asks for, over all its tries. */
+  /** Content id of the request, the same for all its tries. */
   readonly content: string;
-  /** Rises when the request was served after servers had ended under it; `ends` then begins anew. */
+  /** Incremented when the request is served after terminations; `ends` then starts at 0 again. */
   readonly round: number;
-  /** Ends one after the other: each of a run that began when the one before was known. */
+  /**
+   * Number of consecutive terminations: each one during a run that began when the previous one was
+   * known.
+   */
   readonly ends: number;
-  /** Until when the request is not run, on this process's clock; counts from `MOST_ENDS` on. */
+  /**
+   * End of the quarantine, on this process's monotonic clock; applies if `ends` is at least
+   * `MAX_TERMINATIONS`.
+   */
   readonly quarantinedUntilMs: Milliseconds;
-  /** When any of this became known here, on this process's clock. */
+  /** When this process learned of the last change, on its monotonic clock. */
   readonly changedAtMs: Milliseconds;
-  /** The last of them. */
+  /** The latest terminations, at most `MAX_LISTED_TERMINATIONS`. */
   readonly lastTerminations: readonly ServerTermination[];
 }
 
-/** What is known of a request as a run of it begins. */
+/** The terminations of a request that are known when a run of it begins. */
 export interface TerminationHistory {
   readonly round: number;
   readonly ends: number;
 }
 
-/** `trial`: it may run once more, as the time for which it was held is over. */
+/**
+ * `free`: the request may run. `trial`: it may run once, as its hold time is over. `held`: it must
+ * not run.
+ */
 export type QuarantineVerdict = 'free' | 'trial' | 'held';
 
 /**
- * Ends after which a request is not run any more. On 720 drawn days of ends, resets and releases, whole services
- * lost at once among them, 15 of 1,008,000 innocent requests met three that counted, and none was held back for
- * longer than 3 s (quarantine-days.test.ts).
+ * Number of consecutive terminations after which a request is quarantined. In 720 simulated days of
+ * terminations, connection resets and rolling releases, including the loss of whole services at
+ * once, 15 of 1,008,000 regular requests reached three, and none was refused for longer than 3 s
+ * (see the simulation in the tests).
  */
 export const MAX_TERMINATIONS = 3;
 /**
- * The first time for which it is held; each trial that ends a server makes it four times as long. A trial costs
- * all that runs on one server, some ten requests, and the server for some three seconds; an innocent request
- * that is held and that nobody else is served meanwhile is back after one hold.
+ * Duration of the first hold; each trial that terminates a server makes it four times as long. Such
+ * a trial costs the requests that run on the server, about ten, and takes the server out of service
+ * for about 3 s. A regular request that is held is released after one hold at the latest, or
+ * earlier if the same request is served elsewhere.
  */
 const INITIAL_HOLD_MS: Milliseconds = 20_000;
 const HOLD_GROWTH = 4;
 const MAX_HOLD_MS: Milliseconds = 600_000;
-/** What happened this long ago says nothing of a request that is not held. */
+/**
+ * Entries are dropped this long after their last change or the end of their hold: older
+ * terminations say nothing about a request.
+ */
 const RETENTION_MS: Milliseconds = 120_000;
-/** Bounds memory where thousands of different requests meet ends of servers: 1.1 MB, as measured. */
+/** Bounds memory to 1.1 MB if servers terminate under thousands of different requests. */
 const MAX_ENTRIES = 1024;
-/** Ends that are told when somebody asks why. */
+/** Terminations that are listed to explain why a request is held. */
 const MAX_LISTED_TERMINATIONS = 3;
 
-/** Of a request of which nothing is known. */
+/** The history of a request without known terminations. */
 export const NO_TERMINATIONS: TerminationHistory = { round: 0, ends: 0 };
 
 function holdMs(ends: number): Milliseconds {
@@ -66,18 +80,21 @@
   );
 }
 
-/** Whether so many servers ended under a request that it is held, but for trials. */
+/** Whether a request has reached the number of terminations at which it may run only as a trial. */
 export function isQuarantined({ ends }: QuarantineEntry): boolean {
   return ends >= MAX_TERMINATIONS;
 }
 
-/** Whether `other` tells more than `known`, by the order in which all hosts agree. */
+/** Whether `other` replaces `known`, by an order that is the same on all hosts. */
 function supersedes(other: QuarantineEntry, known: QuarantineEntry): boolean {
   if (other.round !== known.round) return other.round > known.round;
   return other.ends > known.ends || isQuarantinedLonger(other, known);
 }
 
-/** Of the same ends; a difference that comes from the way of a message is none. */
+/**
+ * Whether `other` has the same terminations but a longer hold; differences due to message latency
+ * are ignored.
+ */
 function isQuarantinedLonger(other: QuarantineEntry, known: QuarantineEntry): boolean {
   return (
     other.ends === known.ends &&
@@ -86,39 +103,44 @@
 }
 
 /**
- * Requests under which servers have ended, whoever sent them and how often. A request that ends each server
- * that runs it never has a whole answer, so one good answer frees it. Ends count only one after the other:
- * servers that are lost together, or under many runs of one request at once, count once.
+ * Quarantine of requests that terminate the servers that run them, identified by content regardless
+ * of who sends them and how often. Such a request never gets a complete answer, so one complete
+ * answer releases it. Only consecutive terminations count: servers that are lost together, or
+ * during concurrent runs of one request, count once.
  *
- * Entries of several hosts are merged so that the order and the number of messages make no difference.
+ * Merging entries of other hosts is commutative and idempotent: the order and repetition of
+ * messages make no difference.
  */
 export class Quarantine {
-  /** By content; the one that changed last comes last. */
+  /** By content id, in the order of the last change. */
   readonly #entries = new Map<string, QuarantineEntry>();
-  /** How many entries with ends begin with each hint. */
+  /** Number of entries with terminations by content id prefix. */
   readonly #prefixCounts = new Map<string, number>();
 
-  /** How many requests are known. */
+  /** Number of entries. */
   get size(): number {
     return this.#entries.size;
   }
 
-  /** Whether a request whose name begins with `hint` may be known; asked before its body is read. */
-  mayContain(hint: () => string): boolean {
-    return this.#prefixCounts.size > 0 && this.#prefixCounts.has(hint());
+  /**
+   * Whether there may be an entry for a request with this content id prefix; avoids hashing the
+   * body of most requests.
+   */
+  mayContain(prefix: () => string): boolean {
+    return this.#prefixCounts.size > 0 && this.#prefixCounts.has(prefix());
   }
 
-  /** What is known of a request; undefined where nothing is. */
+  /** Returns the entry of a request; undefined if there is none. */
   find(content: string): QuarantineEntry | undefined {
     return this.#entries.get(content);
   }
 
-  /** To be asked as a run begins. */
+  /** Returns the known terminations; to be called when a run begins. */
   historyOf(content: string): TerminationHistory {
     return this.#entries.get(content) ?? NO_TERMINATIONS;
   }
 
-  /** Requests that are not run now. */
+  /** Number of requests that are held now. */
   quarantinedCount(nowMs: Milliseconds): number {
     const entries = [...this.#entries.values()];
     return entries.filter((entry) => isQuarantined(entry) && nowMs < entry.quarantinedUntilMs)
@@ -126,8 +148,9 @@
   }
 
   /**
-   * Whether a request may run now; the trial is given once, to whoever asks first. Of several hosts each waits
-   * `graceMs` of its own, so that all hear of one trial before the next host gives another.
+   * Decides whether a request may run now. A trial is granted once, to the first caller after the
+   * hold. Each host adds a different `graceMs`, so that all hosts learn of a trial before the next
+   * host would grant another.
    */
   judge(content: string, nowMs: Milliseconds, graceMs: Milliseconds = 0): QuarantineVerdict {
     const entry = this.#entries.get(content);
@@ -137,7 +160,10 @@
     return 'trial';
   }
 
-  /** A server ended under a run that began when `began` was known; what is known now. */
+  /**
+   * Records a termination during a run that began with the history `began`; returns the updated
+   * entry.
+   */
   onTermination(
     content: string,
     began: TerminationHistory,
@@ -156,15 +182,18 @@
       content,
       round,
       ends,
-      quarantinedUntilMs: quarantinedUntilMs,
+      quarantinedUntilMs,
       changedAtMs: end.atMs,
-      lastTerminations: lastTerminations,
+      lastTerminations,
     };
     this.#put(entry);
     return entry;
   }
 
-  /** The request was served; what is known now, or undefined where no end was known. */
+  /**
+   * Records that the request was served; returns the updated entry, or undefined if no termination
+   * was known.
+   */
   onServed(content: string, nowMs: Milliseconds): QuarantineEntry | undefined {
     const known = this.#entries.get(content);
     if (!known || known.ends === 0) return undefined;
@@ -181,7 +210,7 @@
     return entry;
   }
 
-  /** Takes in what another host knows; true where that is news. */
+  /** Merges an entry of another host; returns true if it changed the state. */
   merge(told: QuarantineEntry): boolean {
     const known = this.#entries.get(told.content);
     if (known && !supersedes(told, known)) return false;
@@ -189,7 +218,10 @@
     return true;
   }
 
-  /** Entries for a peer: those that changed last, and others by turns that begin at `turn`. */
+  /**
+   * Returns at most `most` entries for a peer: half of them the latest changes, the others in
+   * rotation by `turn`.
+   */
   entriesFor(turn: number, most: number): readonly QuarantineEntry[] {
     const all = [...this.#entries.values()].reverse();
     if (all.length <= most) return all;
@@ -199,7 +231,7 @@
     return [...newest, ...others.slice(from), ...others.slice(0, from)].slice(0, most);
   }
 
-  /** Forgets what lies so far back that it counts for nothing. */
+  /** Removes entries beyond their retention time. */
   expire(nowMs: Milliseconds): void {
     for (const entry of [...this.#entries.values()]) {
       const lastMs = isQuarantined(entry) ? entry.quarantinedUntilMs : entry.changedAtMs;
@@ -215,7 +247,9 @@
     if (entry.ends > 0) this.#countPrefix(prefixOf(entry.content), 1);
   }
 
-  /** The one that is least missed: not held, and unchanged for longest. */
+  /**
+   * Evicts the entry that has been unchanged for longest, preferably one that is not quarantined.
+   */
   #evictOne(): void {
     const entries = [...this.#entries.values()];
     const least = entries.find((entry) => !isQuarantined(entry)) ?? entries[0];
@@ -227,9 +261,9 @@
     if (entry.ends > 0) this.#countPrefix(prefixOf(entry.content), -1);
   }
 
-  #countPrefix(hint: string, by: number): void {
-    const count = (this.#prefixCounts.get(hint) ?? 0) + by;
-    if (count > 0) this.#prefixCounts.set(hint, count);
-    else this.#prefixCounts.delete(hint);
+  #countPrefix(prefix: string, by: number): void {
+    const count = (this.#prefixCounts.get(prefix) ?? 0) + by;
+    if (count > 0) this.#prefixCounts.set(prefix, count);
+    else this.#prefixCounts.delete(prefix);
   }
 }
