--- a/packages/fleet/src/leaving-lives.test.ts
+++ b/packages/fleet/src/leaving-lives.test.ts
@@ -6,80 +6,80 @@
 const SERVER: BackendServer = engineServer('i-1');
 const DRAINING: BackendServer = { ...SERVER, isDraining: true };
 
-function leavingFrom(saidAtMs: number, server = SERVER): LeavingIncarnations {
-  const lives = new LeavingIncarnations();
-  lives.add(server, saidAtMs);
-  return lives;
+function leavingFrom(announcedAtMs: number, server = SERVER): LeavingIncarnations {
+  const leaving = new LeavingIncarnations();
+  leaving.add(server, announcedAtMs);
+  return leaving;
 }
 
-describe('LeavingLives', () => {
-  it('takes each life in once, by its first word', () => {
-    const lives = leavingFrom(100);
-    expect(lives.add(SERVER, 300)).toBe(false);
-    expect(lives.announcedAtMs(SERVER)).toBe(100);
-    expect(lives.announcedAtMs(engineServer('i-2'))).toBeUndefined();
+describe('LeavingIncarnations', () => {
+  it('records the first announcement of each incarnation only', () => {
+    const leaving = leavingFrom(100);
+    expect(leaving.add(SERVER, 300)).toBe(false);
+    expect(leaving.announcedAtMs(SERVER)).toBe(100);
+    expect(leaving.announcedAtMs(engineServer('i-2'))).toBeUndefined();
   });
 
-  it('goes by the word as long as entries say ready, however long', () => {
-    const lives = leavingFrom(0);
-    for (let nowMs = 0; nowMs < 600_000; nowMs += 1000) lives.onListed([SERVER], nowMs);
-    expect(lives.announcedAtMs(SERVER)).toBe(0);
+  it('keeps the announcement for as long as entries say ready', () => {
+    const leaving = leavingFrom(0);
+    for (let nowMs = 0; nowMs < 600_000; nowMs += 1000) leaving.onListed([SERVER], nowMs);
+    expect(leaving.announcedAtMs(SERVER)).toBe(0);
   });
 
   it.each([
-    ['birth', { startedAtMs: 7 }],
+    ['start time', { startedAtMs: 7 }],
     ['port', { port: 9 }],
     ['address', { address: '10.0.0.9' }],
-  ])('says nothing of another life by its %s', (_name, change) => {
-    const lives = leavingFrom(0);
-    expect(lives.announcedAtMs({ ...SERVER, ...change })).toBeUndefined();
-    expect(lives.add({ ...SERVER, ...change }, 50)).toBe(true);
+  ])('does not apply to an incarnation with another %s', (_name, change) => {
+    const leaving = leavingFrom(0);
+    expect(leaving.announcedAtMs({ ...SERVER, ...change })).toBeUndefined();
+    expect(leaving.add({ ...SERVER, ...change }, 50)).toBe(true);
   });
 
-  it('takes a late entry that says ready for what it is, and one that stays for a new life', () => {
-    const lives = leavingFrom(0);
-    lives.onListed([DRAINING], 1000);
-    lives.onListed([SERVER], 2000);
-    lives.onListed([DRAINING], 3000);
-    lives.onListed([SERVER], 4000);
-    lives.onListed([SERVER], 12_900);
-    expect(lives.announcedAtMs(SERVER)).toBe(0);
-    lives.onListed([SERVER], 13_100);
-    expect(lives.announcedAtMs(SERVER)).toBeUndefined();
+  it('ignores a late entry that says ready, and takes one that persists for a new incarnation', () => {
+    const leaving = leavingFrom(0);
+    leaving.onListed([DRAINING], 1000);
+    leaving.onListed([SERVER], 2000);
+    leaving.onListed([DRAINING], 3000);
+    leaving.onListed([SERVER], 4000);
+    leaving.onListed([SERVER], 12_900);
+    expect(leaving.announcedAtMs(SERVER)).toBe(0);
+    leaving.onListed([SERVER], 13_100);
+    expect(leaving.announcedAtMs(SERVER)).toBeUndefined();
   });
 
-  it('takes one that was not listed for long for a new life at once', () => {
-    const lives = leavingFrom(0);
-    lives.onListed([], 1000);
-    lives.onListed([], 11_000);
-    lives.onListed([SERVER], 11_100);
-    expect(lives.announcedAtMs(SERVER)).toBeUndefined();
+  it('takes a server that was unlisted for long for a new incarnation at once', () => {
+    const leaving = leavingFrom(0);
+    leaving.onListed([], 1000);
+    leaving.onListed([], 11_000);
+    leaving.onListed([SERVER], 11_100);
+    expect(leaving.announcedAtMs(SERVER)).toBeUndefined();
   });
 
-  it('keeps one that lapsed and is back by a write that was taken up to 6 s late', () => {
-    const lives = leavingFrom(0);
-    lives.onListed([], 1000);
-    lives.onListed([SERVER], 7000);
-    lives.onListed([], 10_600);
-    expect(lives.announcedAtMs(SERVER)).toBe(0);
+  it('keeps the announcement if an expired entry reappears by a write that took effect up to 6 s late', () => {
+    const leaving = leavingFrom(0);
+    leaving.onListed([], 1000);
+    leaving.onListed([SERVER], 7000);
+    leaving.onListed([], 10_600);
+    expect(leaving.announcedAtMs(SERVER)).toBe(0);
   });
 
-  it('holds as long as the life where births are told, whatever the list said meanwhile', () => {
+  it('lasts as long as the incarnation if start times are reported, whatever the list said meanwhile', () => {
     const born = { ...SERVER, startedAtMs: 5 };
-    const lives = leavingFrom(0, born);
-    lives.onListed([], 1000);
-    lives.onListed([born], 30_000);
-    lives.onListed([{ ...born, isDraining: true }], 31_000);
-    lives.onListed([born], 50_000);
-    expect(lives.announcedAtMs(born)).toBe(0);
-    lives.onListed([{ ...born, startedAtMs: 6 }], 51_000);
-    expect(lives.size).toBe(0);
+    const leaving = leavingFrom(0, born);
+    leaving.onListed([], 1000);
+    leaving.onListed([born], 30_000);
+    leaving.onListed([{ ...born, isDraining: true }], 31_000);
+    leaving.onListed([born], 50_000);
+    expect(leaving.announcedAtMs(born)).toBe(0);
+    leaving.onListed([{ ...born, startedAtMs: 6 }], 51_000);
+    expect(leaving.size).toBe(0);
   });
 
-  it('forgets what is listed no more', () => {
-    const lives = leavingFrom(0);
-    lives.onListed([], 1000);
-    lives.onListed([], 62_000);
-    expect(lives.size).toBe(0);
+  it('drops a server that is no longer listed', () => {
+    const leaving = leavingFrom(0);
+    leaving.onListed([], 1000);
+    leaving.onListed([], 62_000);
+    expect(leaving.size).toBe(0);
   });
 });
--- a/packages/fleet/src/leaving-lives.ts
+++ b/packages/fleet/src/leaving-lives.ts
@@ -5,23 +5,31 @@
 interface LeavingIncarnation {
   readonly server: BackendServer;
   readonly announcedAtMs: Milliseconds;
-  /** When the list told last that it drains or did not list it; undefined while it did neither. */
+  /**
+   * When the server was last listed as draining or not listed; undefined if neither has happened
+   * yet.
+   */
   readonly confirmedAtMs?: Milliseconds;
-  /** Since when it has not been listed. */
+  /** When it was first missing from the list. */
   readonly unlistedSinceMs?: Milliseconds;
 }
 
 /**
- * A "ready" that was written before the server left may be taken late: a write whose answer was lost may be
- * done 6 s later, and an entry goes after three writes, 1.2 s apart, that did not come.
+ * A "ready" entry that the server wrote before it announced its leaving may appear late: a write
+ * whose answer was lost may take effect 6 s later, and an entry expires after three missed writes,
+ * 1.2 s apart.
  */
 const MAX_WRITE_DELAY_MS: Milliseconds = 10_000;
-/** A life that is not listed for so long is over: servers serve on for some seconds after their entries go. */
+/**
+ * An incarnation that is not listed for this long has ended; servers serve for some seconds after
+ * their entries expire.
+ */
 const UNLISTED_RETENTION_MS: Milliseconds = 60_000;
 
 /**
- * Lives of servers that said themselves that they leave. Such a word is newer than any entry that tells otherwise,
- * by a time that nobody knows: the list is as old as the store is away. So it holds as long as the life.
+ * Incarnations of servers that announced that they are leaving. The announcement overrides listed
+ * entries that say otherwise, for as long as the incarnation lasts: the list may be arbitrarily old
+ * while the store is unreachable.
  */
 export class LeavingIncarnations {
   readonly #incarnations = new Map<string, LeavingIncarnation>();
@@ -30,43 +38,46 @@
     return this.#incarnations.size;
   }
 
-  /** The server said so at `saidAtMs`, to this host or another; false where that was known. */
-  add(server: BackendServer, saidAtMs: Milliseconds): boolean {
+  /**
+   * Records an announcement made to this host or another one; returns false if it is already known.
+   */
+  add(server: BackendServer, announcedAtMs: Milliseconds): boolean {
     if (this.announcedAtMs(server) !== undefined) return false;
-    this.#incarnations.set(server.id, { server, announcedAtMs: saidAtMs });
+    this.#incarnations.set(server.id, { server, announcedAtMs });
     return true;
   }
 
-  /** When this life first said that it leaves; undefined where it did not. */
+  /** Returns when this incarnation first announced that it is leaving; undefined if it has not. */
   announcedAtMs(server: BackendServer): Milliseconds | undefined {
     const known = this.#incarnations.get(server.id);
     return known && isSameIncarnation(known.server, server) ? known.announcedAtMs : undefined;
   }
 
   /**
-   * Takes in a list that holds now. Where servers tell their births, only another birth is another life; where they
-   * don't, one that is ready again well after it was listed as draining or not at all has started again.
+   * Applies the current server list. If a server reports its start time, only another start time
+   * means a new incarnation. Otherwise a server has also restarted if it is listed as ready more
+   * than `MAX_WRITE_DELAY_MS` after it was last listed as draining or first missing.
    */
   onListed(listed: readonly BackendServer[], nowMs: Milliseconds): void {
     if (this.#incarnations.size === 0) return;
     const byId = new Map(listed.map((server) => [server.id, server]));
-    for (const [id, life] of [...this.#incarnations])
-      this.#reconcile(id, life, byId.get(id), nowMs);
+    for (const [id, entry] of [...this.#incarnations])
+      this.#reconcile(id, entry, byId.get(id), nowMs);
   }
 
   #reconcile(
     id: string,
-    life: LeavingIncarnation,
+    entry: LeavingIncarnation,
     listed: BackendServer | undefined,
     nowMs: Milliseconds,
   ): void {
-    const { confirmedAtMs = nowMs, unlistedSinceMs = nowMs } = life;
+    const { confirmedAtMs = nowMs, unlistedSinceMs = nowMs } = entry;
     const sinceMs = nowMs - Math.min(confirmedAtMs, unlistedSinceMs);
     if (listed === undefined) {
       if (nowMs - unlistedSinceMs > UNLISTED_RETENTION_MS) this.#incarnations.delete(id);
-      else this.#incarnations.set(id, { ...life, confirmedAtMs: nowMs, unlistedSinceMs });
-    } else if (!isSameIncarnation(life.server, listed)) this.#incarnations.delete(id);
-    else if (listed.isDraining) this.#incarnations.set(id, { ...life, confirmedAtMs: nowMs });
+      else this.#incarnations.set(id, { ...entry, confirmedAtMs: nowMs, unlistedSinceMs });
+    } else if (!isSameIncarnation(entry.server, listed)) this.#incarnations.delete(id);
+    else if (listed.isDraining) this.#incarnations.set(id, { ...entry, confirmedAtMs: nowMs });
     else if (listed.startedAtMs === undefined && sinceMs > MAX_WRITE_DELAY_MS)
       this.#incarnations.delete(id);
   }
--- a/packages/fleet/src/limit-ledger.test.ts
+++ b/packages/fleet/src/limit-ledger.test.ts
@@ -6,72 +6,72 @@
 import { ServerLimits } from './server-limits.js';
 
 const SERVER = engineServer('i-1');
-const WHOLE: LimitPart = { role: 'first', share: 1 };
+const FULL: LimitPart = { role: 'first', share: 1 };
 const STAND_IN: LimitPart = { role: 'stand_in', share: 0.5 };
 
 function bucketsWithLimit(perSecond: number) {
   const limits = new ServerLimits();
   limits.applyNotice(SERVER, { kind: 'named', perSecond }, 0, 0);
-  const ledger = new PermitBuckets(limits);
-  const tryGive = (nowMs: number, part = WHOLE) => {
-    if (ledger.availablePermits(SERVER, part, nowMs) < 1) return false;
-    ledger.grant(SERVER, part, nowMs);
+  const buckets = new PermitBuckets(limits);
+  const tryGrant = (nowMs: number, part = FULL) => {
+    if (buckets.availablePermits(SERVER, part, nowMs) < 1) return false;
+    buckets.grant(SERVER, part, nowMs);
     return true;
   };
-  return { ledger, limits, tryGive };
+  return { buckets, limits, tryGrant };
 }
 
-describe('LimitLedger', () => {
-  it('begins with nothing, and gives the next place when it has come in', () => {
-    const { ledger, tryGive } = bucketsWithLimit(2);
-    expect(tryGive(0)).toBe(false);
-    expect(ledger.nextPermitInMs(SERVER, WHOLE, 0)).toBe(500);
-    expect(tryGive(500)).toBe(true);
-    expect(tryGive(501)).toBe(false);
+describe('PermitBuckets', () => {
+  it('starts empty and grants a permit when the bucket has been refilled', () => {
+    const { buckets, tryGrant } = bucketsWithLimit(2);
+    expect(tryGrant(0)).toBe(false);
+    expect(buckets.nextPermitInMs(SERVER, FULL, 0)).toBe(500);
+    expect(tryGrant(500)).toBe(true);
+    expect(tryGrant(501)).toBe(false);
   });
 
-  it('gives freely for servers that name no limit', () => {
-    const { ledger } = bucketsWithLimit(2);
-    expect(ledger.availablePermits(engineServer('i-2'), WHOLE, 0)).toBe(Number.POSITIVE_INFINITY);
+  it('grants unlimited permits for servers without a limit', () => {
+    const { buckets } = bucketsWithLimit(2);
+    expect(buckets.availablePermits(engineServer('i-2'), FULL, 0)).toBe(Number.POSITIVE_INFINITY);
   });
 
-  it('counts what was used without being asked for', () => {
-    const { ledger, tryGive } = bucketsWithLimit(2);
-    expect(tryGive(0)).toBe(false);
-    ledger.grant(SERVER, WHOLE, 0);
-    expect(tryGive(600)).toBe(false);
-    expect(tryGive(1000)).toBe(true);
+  it('counts permits that were used without a request', () => {
+    const { buckets, tryGrant } = bucketsWithLimit(2);
+    expect(tryGrant(0)).toBe(false);
+    buckets.grant(SERVER, FULL, 0);
+    expect(tryGrant(600)).toBe(false);
+    expect(tryGrant(1000)).toBe(true);
   });
 
-  it('saves nothing up in place of a host that is silent now and then', () => {
-    const { tryGive } = bucketsWithLimit(2);
-    expect(tryGive(0, STAND_IN)).toBe(false);
-    expect(tryGive(10_000, STAND_IN)).toBe(false);
-    expect(tryGive(11_000, STAND_IN)).toBe(true);
+  it('saves up no permits as a substitute that is needed only now and then', () => {
+    const { tryGrant } = bucketsWithLimit(2);
+    expect(tryGrant(0, STAND_IN)).toBe(false);
+    expect(tryGrant(10_000, STAND_IN)).toBe(false);
+    expect(tryGrant(11_000, STAND_IN)).toBe(true);
   });
 
-  it('begins anew with each life', () => {
-    const { ledger, limits, tryGive } = bucketsWithLimit(2);
-    expect(tryGive(0)).toBe(false);
+  it('starts empty for each incarnation', () => {
+    const { buckets, limits, tryGrant } = bucketsWithLimit(2);
+    expect(tryGrant(0)).toBe(false);
     const next = { ...SERVER, startedAtMs: 7 };
     limits.applyNotice(next, { kind: 'named', perSecond: 2 }, 100, 400);
-    expect(ledger.availablePermits(next, WHOLE, 500)).toBe(0);
+    expect(buckets.availablePermits(next, FULL, 500)).toBe(0);
   });
 
-  it('never gives more in 4 s than the limit names and what is saved up', () => {
+  it('never grants more in 4 s than the limit allows plus a full bucket', () => {
     const pauses = fc.array(fc.integer({ min: 0, max: 400 }), { minLength: 1, maxLength: 300 });
     const perSecond = fc.double({ min: 0.05, max: 30, noNaN: true });
     fc.assert(
       fc.property(pauses, perSecond, (after, limit) => {
-        const { tryGive } = bucketsWithLimit(limit);
+        const { tryGrant } = bucketsWithLimit(limit);
         let nowMs = 0;
-        const givenAtMs = after.flatMap((pauseMs) => {
+        const grantTimes = after.flatMap((pauseMs) => {
           nowMs += pauseMs;
-          return tryGive(nowMs) ? [nowMs] : [];
+          return tryGrant(nowMs) ? [nowMs] : [];
         });
         const most = limit * 4 + 1 + limit / 4 + 1e-6;
-        for (const fromMs of givenAtMs) {
-          const inWindow = givenAtMs.filter((atMs) => atMs >= fromMs && atMs < fromMs + 4000);
+        for (const fromMs of grantTimes) {
+          const inWindow = grantTimes.filter((atMs) => atMs >= fromMs && atMs < fromMs + 4000);
           expect(inWindow.length).toBeLessThanOrEqual(most);
         }
       }),
--- a/packages/fleet/src/limit-ledger.ts
+++ b/packages/fleet/src/limit-ledger.ts
@@ -4,54 +4,64 @@
 import type { ServerLimits } from './server-limits.js';
 
 /**
- * As what a host gives out places of limits: as the first in rank, in place of one that is silent, or for itself as
- * it hears nobody who could.
+ * The role in which a host grants permits: as the first planner in rank (`first`), in place of one
+ * that is unresponsive (`stand_in`), or only for itself because it reaches no planner (`alone`).
  */
 export type LimitRole = (typeof LIMIT_ROLES)[number];
 
 const LIMIT_ROLES = ['first', 'stand_in', 'alone'] as const;
 
-/** What a host may give out of each limit. */
+/** The part of each limit that a host may grant. */
 export interface LimitPart {
   readonly role: LimitRole;
-  /** Share of the limit. */
+  /** Share of the limit, from 0 to 1. */
   readonly share: number;
 }
 
 interface Bucket {
   readonly server: BackendServer;
-  /** Places that may be given; under 0 where some were used that could not be asked for. */
+  /** Permits that may be granted; negative if some were used without a request. */
   permits: number;
   atMs: Milliseconds;
-  /** When places were given lately, for those who want to know what was used. */
+  /** When permits were granted recently, to report the current usage. */
   grantTimes: Milliseconds[];
 }
 
 const MS_PER_SECOND = 1000;
-/** One place is saved up, and what comes in for so long, so that a place that is taken a little late is not lost. */
+/**
+ * A bucket holds one permit plus the refill of this period, so that a permit that is taken a little
+ * late is not lost.
+ */
 const BURST_MS: Milliseconds = 250;
-/** A host that gives for others only now and then begins with nothing each time. */
+/**
+ * A bucket of another role than `first` is discarded if it is unused for this long, so that a host
+ * that substitutes only now and then starts empty each time.
+ */
 const BUCKET_EXPIRY_MS: Milliseconds = 3000;
+/** Period for which `recentlyGranted` counts permits. */
 const RECENT_GRANTS_MS: Milliseconds = 4000;
 
 /**
- * Counts the requests that servers with a limit get from all hosts, at the one host that gives out the places for them.
- * Shares that each host would keep for itself don't do: of two a second, 330 hosts have one in three minutes each, and
- * sixty that each save up one send sixty at once. Begins with nothing, as what was given before is not known.
+ * Token buckets from which one host grants the permits for the requests of all hosts to servers
+ * with a rate limit. A separate share per host does not work: of two requests per second, each of
+ * 330 hosts would get one in three minutes, and sixty hosts that each save up one would send sixty
+ * at once. A bucket starts empty, as earlier grants are unknown.
  */
 export class PermitBuckets {
   readonly #buckets = new Map<string, Bucket>();
 
   constructor(readonly limits: ServerLimits) {}
 
-  /** Requests that may be sent to a server now; infinite where it names no limit. */
+  /**
+   * Returns the number of requests that may be sent to a server now; infinite if it has no limit.
+   */
   availablePermits(server: BackendServer, part: LimitPart, nowMs: Milliseconds): number {
     const rate = this.rateOf(server, part, nowMs);
     if (rate === undefined) return Number.POSITIVE_INFINITY;
     return Math.max(0, Math.floor(this.#refill(server, part, rate, nowMs).permits));
   }
 
-  /** Gives a place, or counts one that was used without being asked for. */
+  /** Grants a permit, or counts one that was used without a request. */
   grant(server: BackendServer, part: LimitPart, nowMs: Milliseconds): void {
     const rate = this.rateOf(server, part, nowMs);
     if (rate === undefined) return;
@@ -63,7 +73,7 @@
     ];
   }
 
-  /** How long until a place is there; infinite where none is to come. */
+  /** Returns the time until a permit is available; infinite if this host's rate is 0. */
   nextPermitInMs(server: BackendServer, part: LimitPart, nowMs: Milliseconds): Milliseconds {
     const rate = this.rateOf(server, part, nowMs);
     if (rate === undefined) return 0;
@@ -71,28 +81,31 @@
     return missing <= 0 ? 0 : (missing / rate) * MS_PER_SECOND;
   }
 
-  /** The places a second that this host gives for a server; undefined where it names no limit. */
+  /**
+   * Returns the permits per second that this host grants for a server; undefined if it has no
+   * limit.
+   */
   rateOf(server: BackendServer, { share }: LimitPart, nowMs: Milliseconds): number | undefined {
     const rate = this.limits.rateOf(server, nowMs);
     return rate === undefined ? undefined : rate * share;
   }
 
-  /** Places of a server that were given in the last 4 s, in whatever role. */
+  /** Returns the number of permits for a server that were granted in the last 4 s, in any role. */
   recentlyGranted(server: BackendServer, nowMs: Milliseconds): number {
-    const given = LIMIT_ROLES.flatMap((role) => {
+    const grantTimes = LIMIT_ROLES.flatMap((role) => {
       return this.#buckets.get(`${role} ${server.id}`)?.grantTimes ?? [];
     });
-    return given.filter((atMs) => nowMs - atMs < RECENT_GRANTS_MS).length;
+    return grantTimes.filter((atMs) => nowMs - atMs < RECENT_GRANTS_MS).length;
   }
 
   #refill(server: BackendServer, { role }: LimitPart, rate: number, nowMs: Milliseconds): Bucket {
     const key = `${role} ${server.id}`;
     const known = this.#buckets.get(key);
-    const isKept =
+    const isReusable =
       known !== undefined &&
       isSameIncarnation(known.server, server) &&
       (role === 'first' || nowMs - known.atMs < BUCKET_EXPIRY_MS);
-    if (!isKept) return this.#createBucket(key, server, nowMs);
+    if (!isReusable) return this.#createBucket(key, server, nowMs);
     const most = 1 + (rate * BURST_MS) / MS_PER_SECOND;
     known.permits = Math.min(most, known.permits + (rate * (nowMs - known.atMs)) / MS_PER_SECOND);
     known.atMs = nowMs;
@@ -100,8 +113,8 @@
   }
 
   #createBucket(key: string, server: BackendServer, nowMs: Milliseconds): Bucket {
-    for (const [other, { server: counted }] of this.#buckets) {
-      if (!this.limits.find(counted)) this.#buckets.delete(other);
+    for (const [otherKey, { server: limited }] of this.#buckets) {
+      if (!this.limits.find(limited)) this.#buckets.delete(otherKey);
     }
     const bucket = { server, permits: 0, atMs: nowMs, grantTimes: [] };
     this.#buckets.set(key, bucket);
--- a/packages/fleet/src/resting-servers.test.ts
+++ b/packages/fleet/src/resting-servers.test.ts
@@ -6,8 +6,8 @@
 const SERVER = engineServer('i-1');
 const noJitter = () => 0;
 
-describe('RestingServers', () => {
-  it('lets nothing through for as long as any of its words asked for', () => {
+describe('ServerBackoffs', () => {
+  it('sends nothing until the latest of the requested backoffs has ended', () => {
     fastCheck.assert(
       fastCheck.property(
         fastCheck.array(
@@ -18,23 +18,23 @@
           { minLength: 1 },
         ),
         fastCheck.nat(30_000),
-        (words, lookMs) => {
+        (backoffsAsked, checkAfterMs) => {
           const rests = new ServerBackoffs(noJitter);
           let nowMs = 0;
           let untilMs = 0;
-          for (const { afterMs, forMs } of words) {
+          for (const { afterMs, forMs } of backoffsAsked) {
             nowMs += afterMs;
             rests.begin(SERVER, forMs, nowMs);
             untilMs = Math.max(untilMs, nowMs + forMs);
           }
-          const atMs = nowMs + lookMs;
+          const atMs = nowMs + checkAfterMs;
           expect(rests.canSend(SERVER, atMs)).toBe(atMs >= untilMs);
         },
       ),
     );
   });
 
-  it('binds one life of one server', () => {
+  it('applies to one incarnation of one server', () => {
     const rests = new ServerBackoffs(noJitter);
     rests.begin(SERVER, 3000, 0);
     expect(rests.canSend(engineServer('i-2'), 10)).toBe(true);
@@ -42,7 +42,7 @@
     expect(rests.canSend(SERVER, 10)).toBe(false);
   });
 
-  it('returns by steps: twice as many at once with each that is answered', () => {
+  it('ramps up: each answer doubles the number of concurrent requests', () => {
     const rests = new ServerBackoffs(noJitter);
     rests.begin(SERVER, 3000, 0);
     const sendAll = (round: number) => {
@@ -63,7 +63,7 @@
     expect(counts).toEqual([1, 2, 8, 100]);
   });
 
-  it('begins at one again after another rest, and lets attempts without an answer go', () => {
+  it('starts at one again after another backoff, and stops counting attempts that end without an answer', () => {
     const rests = new ServerBackoffs(noJitter);
     rests.begin(SERVER, 1000, 0);
     rests.onSent(SERVER, 'a', 1000);
@@ -77,7 +77,7 @@
     expect(rests.canSend(SERVER, 3000)).toBe(false);
   });
 
-  it('lets two orders through while it rests, and tells each rest once', () => {
+  it('allows two reservation commands during a backoff, and reports each backoff once', () => {
     const rests = new ServerBackoffs(noJitter);
     expect(rests.begin(SERVER, 3000, 0).isNew).toBe(true);
     expect(rests.begin(SERVER, 3000, 100).isNew).toBe(false);
@@ -89,7 +89,7 @@
     expect(rests.tryReservationCommand(SERVER, 3100)).toBe(true);
   });
 
-  it('tries a server that asked for absurdly long after its longest rest, and forgets old ones', () => {
+  it('caps a backoff that is far too long, and drops old ones', () => {
     const rests = new ServerBackoffs(noJitter);
     rests.begin(SERVER, 1e12, 0);
     expect(rests.leftMs(SERVER, 0)).toBe(MAX_BACKOFF_MS);
--- a/packages/fleet/src/resting-servers.ts
+++ b/packages/fleet/src/resting-servers.ts
@@ -5,124 +5,146 @@
 interface Backoff {
   readonly server: BackendServer;
   readonly untilMs: Milliseconds;
-  /** Requests that may be without an answer at once, after the rest. */
+  /** Limit of unanswered requests after the backoff. */
   readonly most: number;
-  /** Requests sent after the rest that have no answer yet. */
+  /** Ids of the attempts sent after the backoff that are not answered yet. */
   readonly unanswered: ReadonlySet<string>;
-  /** Orders that may be sent still while it rests. */
+  /** Number of reservation commands that may still be sent during the backoff. */
   readonly commandsLeft: number;
 }
 
-/** What came of a word that a server wants rest. */
+/** The effect of a server's request for a backoff. */
 export interface StartedBackoff {
-  /** Until when it is sent nothing, on this process's clock. */
+  /** End of the backoff, on this process's monotonic clock. */
   readonly untilMs: Milliseconds;
-  /** False where it had asked for as much before. */
+  /** False if the server is already backed off for about as long. */
   readonly isNew: boolean;
 }
 
 /**
- * A server that asks for longer is sent one request after this: a number in another unit, or the fault of a clock, must
- * not cost a server for a day.
+ * Upper bound of a backoff, after which the server is sent one request: a value in a wrong unit or
+ * a clock fault must not take a server out of service for a day.
  */
 export const MAX_BACKOFF_MS: Milliseconds = 600_000;
-/** A word that prolongs a rest by less is no news: many answers that say the same come over some milliseconds. */
+/**
+ * A backoff counts as new only if it extends the current one by more than this: many responses with
+ * the same delay arrive over some milliseconds.
+ */
 export const BACKOFF_CHANGE_MS: Milliseconds = 500;
-/** Hosts that were asked for the same rest come back within this share of it, and not all at its end. */
+/**
+ * Random jitter, as a share of the backoff, so that hosts with the same backoff don't all return at
+ * its end.
+ */
 const JITTER_SHARE = 0.1;
 const MAX_JITTER_MS: Milliseconds = 500;
-/** After a rest one request is sent, and twice as many with each that is answered, up to no bound. */
+/**
+ * After a backoff one request is sent; the limit doubles with each answer, and is dropped once it
+ * reaches the last value.
+ */
 const INITIAL_CONCURRENCY = 1;
 const CONCURRENCY_GROWTH = 2;
 const UNLIMITED_CONCURRENCY = 32;
-/** A server that was not needed for so long after its rest is taken as any other. */
+/** A server that has been unused for this long after its backoff is treated like any other. */
 const RECOVERY_RETENTION_MS: Milliseconds = 60_000;
-/** Sent to a server that rests: one order to hold on to memory that a request uses there, and one to free it. */
+/**
+ * Commands allowed during a backoff: one to renew the memory reservation of a running request, and
+ * one to release it.
+ */
 const COMMANDS_DURING_BACKOFF = 2;
 
 /**
- * Servers that asked this host for rest, by a 503 with the time for which they want nothing more from it. It binds
- * this host alone. After a rest it returns by steps: a server that is sent at once all that a host has turns it away
- * again.
+ * Servers that asked this host to back off, by a 503 response with the time for which they want no
+ * more requests from it. A backoff applies to this host only. It is followed by a ramp-up, because
+ * a server that gets the full load of a host at once rejects it again.
  */
 export class ServerBackoffs {
   readonly #backoffs = new Map<string, Backoff>();
 
-  /** `draw`: uniform random numbers in [0, 1). */
+  /** `random` returns uniform numbers in [0, 1). */
   constructor(readonly random: () => number) {}
 
   get size(): number {
     return this.#backoffs.size;
   }
 
-  /** The server wants nothing for `forMs` from now. Of several words the one that lasts longest holds. */
+  /**
+   * Starts or extends a backoff of `forMs` from now; of several requests the one that ends last
+   * applies.
+   */
   begin(server: BackendServer, forMs: Milliseconds, nowMs: Milliseconds): StartedBackoff {
     this.#dropExpired(nowMs);
     const known = this.#find(server);
-    const spreadMs = Math.min(forMs * JITTER_SHARE, MAX_JITTER_MS) * this.random();
-    const wantedMs = nowMs + Math.min(forMs, MAX_BACKOFF_MS) + spreadMs;
-    const untilMs = Math.max(wantedMs, known?.untilMs ?? 0);
-    const isResting = known !== undefined && known.untilMs > nowMs;
+    const jitterMs = Math.min(forMs * JITTER_SHARE, MAX_JITTER_MS) * this.random();
+    const endsAtMs = nowMs + Math.min(forMs, MAX_BACKOFF_MS) + jitterMs;
+    const untilMs = Math.max(endsAtMs, known?.untilMs ?? 0);
+    const isBackedOff = known !== undefined && known.untilMs > nowMs;
     const unanswered = known?.unanswered ?? new Set();
-    const ordersLeft = isResting ? known.commandsLeft : COMMANDS_DURING_BACKOFF;
+    const commandsLeft = isBackedOff ? known.commandsLeft : COMMANDS_DURING_BACKOFF;
     this.#backoffs.set(server.id, {
       server,
       untilMs,
       most: INITIAL_CONCURRENCY,
       unanswered,
-      commandsLeft: ordersLeft,
+      commandsLeft,
     });
-    return { untilMs, isNew: !isResting || untilMs - known.untilMs > BACKOFF_CHANGE_MS };
+    return { untilMs, isNew: !isBackedOff || untilMs - known.untilMs > BACKOFF_CHANGE_MS };
   }
 
-  /** How long the server rests still; 0 where it does not. */
+  /** Returns the remaining time of the backoff; 0 if there is none. */
   leftMs(server: BackendServer, nowMs: Milliseconds): Milliseconds {
     return Math.max(0, (this.#find(server)?.untilMs ?? 0) - nowMs);
   }
 
-  /** Whether one more request may be sent: it does not rest, nor is it returned to by steps that are taken. */
+  /**
+   * Whether one more request may be sent: the server is not backed off, and its ramp-up limit is
+   * not used up.
+   */
   canSend(server: BackendServer, nowMs: Milliseconds): boolean {
-    const rest = this.#find(server);
-    return rest === undefined || (rest.untilMs <= nowMs && rest.unanswered.size < rest.most);
+    const backoff = this.#find(server);
+    return (
+      backoff === undefined || (backoff.untilMs <= nowMs && backoff.unanswered.size < backoff.most)
+    );
   }
 
-  /** Whether it rests, or is returned to by steps and has not answered well enough yet. */
+  /** Whether the server is backed off, or is still ramping up after it. */
   isRecovering(server: BackendServer): boolean {
     return this.#find(server) !== undefined;
   }
 
-  /** A request is sent now; to be asked of `mayTake` before. */
+  /** Records that a request is sent now; the caller checks `canSend` first. */
   onSent(server: BackendServer, attemptId: string, nowMs: Milliseconds): void {
-    const rest = this.#find(server);
-    if (!rest || rest.untilMs > nowMs) return;
+    const backoff = this.#find(server);
+    if (!backoff || backoff.untilMs > nowMs) return;
     this.#backoffs.set(server.id, {
-      ...rest,
-      unanswered: new Set([...rest.unanswered, attemptId]),
+      ...backoff,
+      unanswered: new Set([...backoff.unanswered, attemptId]),
     });
   }
 
-  /** Whether an order may be sent now; counts it where the server rests. */
+  /** Whether a reservation command may be sent now; counts it if the server is backed off. */
   tryReservationCommand(server: BackendServer, nowMs: Milliseconds): boolean {
-    const rest = this.#find(server);
-    if (!rest || rest.untilMs <= nowMs) return true;
-    if (rest.commandsLeft === 0) return false;
-    this.#backoffs.set(server.id, { ...rest, commandsLeft: rest.commandsLeft - 1 });
+    const backoff = this.#find(server);
+    if (!backoff || backoff.untilMs <= nowMs) return true;
+    if (backoff.commandsLeft === 0) return false;
+    this.#backoffs.set(server.id, { ...backoff, commandsLeft: backoff.commandsLeft - 1 });
     return true;
   }
 
-  /** The request has an answer, which a new rest may follow. */
+  /**
+   * Records that a request was answered, which raises the ramp-up limit. A new backoff may follow.
+   */
   onAnswered(server: BackendServer, attemptId: string): void {
-    const rest = this.#withoutRequest(server, attemptId);
-    if (!rest) return;
-    const most = rest.most * CONCURRENCY_GROWTH;
+    const backoff = this.#withoutRequest(server, attemptId);
+    if (!backoff) return;
+    const most = backoff.most * CONCURRENCY_GROWTH;
     if (most >= UNLIMITED_CONCURRENCY) this.#backoffs.delete(server.id);
-    else this.#backoffs.set(server.id, { ...rest, most });
+    else this.#backoffs.set(server.id, { ...backoff, most });
   }
 
-  /** The request is over, with an answer or without one. */
+  /** Records that a request has ended, with or without an answer. */
   onAttemptEnd(server: BackendServer, attemptId: string): void {
-    const rest = this.#withoutRequest(server, attemptId);
-    if (rest) this.#backoffs.set(server.id, rest);
+    const backoff = this.#withoutRequest(server, attemptId);
+    if (backoff) this.#backoffs.set(server.id, backoff);
   }
 
   #dropExpired(nowMs: Milliseconds): void {
@@ -132,15 +154,15 @@
   }
 
   #withoutRequest(server: BackendServer, attemptId: string): Backoff | undefined {
-    const rest = this.#find(server);
-    if (!rest?.unanswered.has(attemptId)) return undefined;
-    const unanswered = new Set(rest.unanswered);
+    const backoff = this.#find(server);
+    if (!backoff?.unanswered.has(attemptId)) return undefined;
+    const unanswered = new Set(backoff.unanswered);
     unanswered.delete(attemptId);
-    return { ...rest, unanswered };
+    return { ...backoff, unanswered };
   }
 
   #find(server: BackendServer): Backoff | undefined {
-    const rest = this.#backoffs.get(server.id);
-    return rest && isSameIncarnation(rest.server, server) ? rest : undefined;
+    const backoff = this.#backoffs.get(server.id);
+    return backoff && isSameIncarnation(backoff.server, server) ? backoff : undefined;
   }
 }
--- a/packages/fleet/src/retries.test.ts
+++ b/packages/fleet/src/retries.test.ts
@@ -22,7 +22,9 @@
   },
 );
 
-/** Plays hosts that come one by one; true where all together spend more than the shared budget. */
+/**
+ * Simulates hosts that join one by one; returns true if all together exceed the fleet-wide budget.
+ */
 function isOverspent(steps: readonly Step[], hostCount: (members: number) => number): boolean {
   const clock = new ManualClock();
   let members = 3;
@@ -53,16 +55,16 @@
 describe('RetryBudget', () => {
   const steps = fc.array(stepArbitrary, { minLength: 300, maxLength: 600 });
 
-  it('keeps what all hosts spend within the shared budget while hosts come', () => {
+  it('keeps the retries of all hosts within the fleet-wide budget while hosts join', () => {
     fc.assert(
-      fc.property(steps, (played) => !isOverspent(played, (members) => members)),
+      fc.property(steps, (sequence) => !isOverspent(sequence, (members) => members)),
       { numRuns: 100, seed: 3 },
     );
   });
 
-  it('would not, if hosts did not count each other (planted fault)', () => {
+  it('exceeds the fleet-wide budget if hosts do not count each other (injected fault)', () => {
     const found = fc.check(
-      fc.property(steps, (played) => !isOverspent(played, () => 1)),
+      fc.property(steps, (sequence) => !isOverspent(sequence, () => 1)),
       { numRuns: 100, seed: 3 },
     );
     expect(found.failed).toBe(true);
--- a/packages/fleet/src/retry-decision.ts
+++ b/packages/fleet/src/retry-decision.ts
@@ -1,34 +1,41 @@
 import type { Milliseconds } from '@poppypond/core';
 
 /**
- * How an attempt ended. `not_sent`: no byte left this host. `misdirected`: the server that was meant
- * is gone, and another one at its address ran nothing. `not_run`: the server confirmed that it ran
- * nothing. `failed`: it ran and said that it failed. `unknown`: it may have run.
+ * How an attempt failed. `not_sent`: no byte left this host. `misdirected`: the intended server is
+ * gone, and another one at its address did not run the request. `not_run`: the server confirmed
+ * that it did not run the request. `failed`: the server ran it and reported a failure. `unknown`:
+ * it may have run.
  */
 export type AttemptFailure = 'not_sent' | 'misdirected' | 'not_run' | 'failed' | 'unknown';
 
-/** Whether no server of the service has seen the attempt, so that it counts as none of those allowed. */
+/**
+ * Whether no server of the service received the attempt, so that it does not count against the
+ * allowed attempts.
+ */
 export function isUndelivered(failure: AttemptFailure): boolean {
   return failure === 'not_sent' || failure === 'misdirected';
 }
 
-/** What decides whether a failed attempt is followed by another. */
+/** Inputs of the decision whether to retry a failed attempt. */
 export interface RetryInputs {
   readonly failure: AttemptFailure;
   readonly mayRepeat: boolean;
   /** Attempts that reached a server of the service, this one included. */
   readonly attemptsSent: number;
-  /** Attempts that no server of the service has seen, this one included. */
+  /** Attempts that no server of the service received, this one included. */
   readonly attemptsUndelivered: number;
   readonly maxAttempts: number;
   readonly timeLeftMs: Milliseconds;
-  /** Whether it is not run for a time, as servers have ended under it, in this try or others. */
+  /**
+   * Whether the request is quarantined because servers terminated while running it, in this try or
+   * others.
+   */
   readonly isQuarantined: boolean;
-  /** Takes one retry of the shared budget; called only when nothing else forbids it. */
+  /** Takes one retry from the shared budget; called only if nothing else forbids the retry. */
   readonly takeRetry: () => boolean;
 }
 
-/** The verdict and the input that decided it. */
+/** The decision and its reason. */
 export interface RetryDecision {
   readonly again: boolean;
   readonly why:
@@ -42,12 +49,12 @@
     | 'unreachable';
 }
 
-/** Attempts that no server of the service has seen; more would only hold the caller up. */
+/** Limit of attempts that no server of the service received; more would only delay the caller. */
 const MAX_UNDELIVERED = 4;
-/** With less time than this no server could still answer. */
+/** With less time left than this, no server could still answer. */
 const MIN_USEFUL_MS = 60;
 
-/** What forbids another attempt whatever the budget allows; undefined where nothing does. */
+/** Returns why a retry is forbidden regardless of the budget; undefined if it is not. */
 function refusalReason(inputs: RetryInputs): RetryDecision['why'] | undefined {
   const { failure, mayRepeat, attemptsSent, attemptsUndelivered, maxAttempts } = inputs;
   if (isUndelivered(failure)) {
@@ -57,7 +64,7 @@
   return attemptsSent < maxAttempts ? undefined : 'attempts_used';
 }
 
-/** Decides whether to try another server. */
+/** Decides whether to retry on another server. */
 export function decideRetry(inputs: RetryInputs): RetryDecision {
   if (inputs.timeLeftMs < MIN_USEFUL_MS) return { again: false, why: 'no_time_left' };
   if (inputs.isQuarantined) return { again: false, why: 'quarantined' };
--- a/packages/fleet/src/server-limits.test.ts
+++ b/packages/fleet/src/server-limits.test.ts
@@ -12,7 +12,7 @@
 }
 
 describe('ServerLimits', () => {
-  it('hold for as long as answers name them, and tell each change once', () => {
+  it('apply for as long as responses report them, and report each change once', () => {
     const limits = new ServerLimits();
     expect(limits.applyNotice(SERVER, NONE, 0, 10)).toBeUndefined();
     expect(limits.applyNotice(SERVER, NAMED, 0, 20)).toBe('named');
@@ -24,14 +24,14 @@
     expect(limits.applyNotice(SERVER, NAMED, 60, 80)).toBe('named');
   });
 
-  it('are not ended by the answer to a request that was sent before they were named', () => {
+  it('are not lifted by the response to a request that was sent before they were reported', () => {
     const limits = new ServerLimits();
     limits.applyNotice(SERVER, NAMED, 0, 100);
     expect(limits.applyNotice(SERVER, NONE, 90, 200)).toBeUndefined();
     expect(limits.isLimited(SERVER, 200)).toBe(true);
   });
 
-  it('stay as they are where a word can not be read', () => {
+  it('stay unchanged if a notice is unreadable', () => {
     const limits = new ServerLimits();
     limits.applyNotice(SERVER, NAMED, 0, 100);
     expect(
@@ -40,13 +40,13 @@
     expect(limits.rateOf(SERVER, 200)).toBe(2);
   });
 
-  it('are those of one life', () => {
+  it('apply to one incarnation only', () => {
     const limits = new ServerLimits();
     limits.applyNotice(SERVER, NAMED, 0, 100);
     expect(limits.isLimited({ ...SERVER, startedAtMs: 2 }, 100)).toBe(false);
   });
 
-  it('let a request through now and then where none is to be sent, to hear when they are over', () => {
+  it('allow an occasional request at a limit of 0, to learn when it is lifted', () => {
     const limits = new ServerLimits();
     limits.applyNotice(SERVER, named(0), 0, 0);
     const rate = limits.rateOf(SERVER, 0) ?? 0;
@@ -54,7 +54,7 @@
     expect(rate).toBeLessThan(0.2);
   });
 
-  it('are returned from by steps, within 5 s', () => {
+  it('are followed by a ramp-up that ends within 5 s', () => {
     const limits = new ServerLimits();
     limits.applyNotice(SERVER, NAMED, 0, 0);
     limits.applyNotice(SERVER, NONE, 10, 1000);
@@ -63,7 +63,7 @@
     expect(limits.rateOf(SERVER, 6000)).toBeUndefined();
   });
 
-  it('are told by hosts, and the newer word holds whoever heard it', () => {
+  it('are merged from peers, and the newest notice applies whichever host received it', () => {
     const limits = new ServerLimits();
     const told = { server: SERVER, perSecond: 3, isLifted: false, reportedAtMs: 100 };
     expect(limits.mergePeerLimit(told, 110)).toBe('named');
@@ -75,7 +75,7 @@
     expect(limits.mergePeerLimit(told, 230)).toBeUndefined();
   });
 
-  it('are forgotten some time after they are over', () => {
+  it('are dropped some time after they are lifted', () => {
     const limits = new ServerLimits();
     limits.applyNotice(SERVER, NAMED, 0, 0);
     limits.applyNotice(SERVER, NONE, 10, 1000);
--- a/packages/fleet/src/server-limits.ts
+++ b/packages/fleet/src/server-limits.ts
@@ -2,90 +2,114 @@
 import { isSameIncarnation } from './backend-server.js';
 import type { BackendServer } from './backend-server.js';
 
-/** What an answer says of the requests a second that its server takes from all hosts together. */
+/**
+ * The rate limit that a server reports in a response: requests per second from all hosts together.
+ */
 export type LimitNotice =
   | { readonly kind: 'named'; readonly perSecond: number }
   | { readonly kind: 'none' }
   | { readonly kind: 'unreadable'; readonly text: string };
 
-/** What one life of a server said of a limit last. */
+/** The last known rate limit of one incarnation of a server. */
 export interface ServerLimit {
   readonly server: BackendServer;
-  /** Requests a second from all hosts together; the last that it named where the limit is over. */
+  /**
+   * Requests per second from all hosts together; the last reported value if the limit is lifted.
+   */
   readonly perSecond: number;
+  /** Whether the server has stopped reporting the limit. */
   readonly isLifted: boolean;
-  /** When it said so last, or first that the limit is over, on this process's clock. */
+  /**
+   * When the server last reported the limit, or first omitted it, on this process's monotonic
+   * clock.
+   */
   readonly reportedAtMs: Milliseconds;
-  /** Since when this process knows it as it is. */
+  /** When this process learned of the current value. */
   readonly changedAtMs: Milliseconds;
 }
 
-/** A limit as another host knows it. */
+/** A limit as another host reports it. */
 export type PeerLimit = Omit<ServerLimit, 'changedAtMs'>;
 
-/** What came of a word: undefined where it tells nothing new. */
+/** The effect of a notice; undefined if it changed nothing. */
 export type LimitChange = 'named' | 'changed' | 'over' | undefined;
 
-/** A limit of 0, or of less than this, is taken for this: without a request now and then nobody hears that it is over. */
+/**
+ * Limits below this value, including 0, count as this value: without an occasional request no host
+ * would learn that the limit is lifted.
+ */
 const MIN_PER_SECOND = 0.05;
-/** After a limit the rate begins at this at least, and doubles until it is no limit any more. */
+/**
+ * After a limit is lifted, the allowed rate starts at the last limit, but at least at this value,
+ * and doubles every `RAMP_UP_DOUBLING_MS`; after `RAMP_UP_MS` it is unlimited.
+ */
 const RAMP_UP_START_PER_SECOND = 1;
 const RAMP_UP_DOUBLING_MS: Milliseconds = 300;
 const RAMP_UP_MS: Milliseconds = 3000;
-/** A limit that is over is told for so long to hosts that may have missed the word. */
+/** How long a lifted limit is kept, to inform hosts that may have missed the notice. */
 const LIFTED_RETENTION_MS: Milliseconds = 30_000;
-/** A word that no answer has renewed for so long is of a server that is gone, or that nobody needs. */
+/**
+ * A limit that no response has renewed for this long belongs to a server that is gone or unused.
+ */
 const REPORTED_RETENTION_MS: Milliseconds = 600_000;
 
 /**
- * Limits that servers name for all hosts together. They bind whoever sends, whoever heard them: what one host sees of
- * what a server gets says nothing of the sum. Of two words of one life the newer holds.
+ * Rate limits that servers report for all hosts together. A limit binds every host, whichever host
+ * received it, because one host sees only a part of the requests that a server gets. Of two notices
+ * of one incarnation the newer one applies.
  */
 export class ServerLimits {
   readonly #limits = new Map<string, ServerLimit>();
 
-  /** Servers that name a limit, or did lately. */
+  /** Number of servers with a limit that is in effect or was lifted recently. */
   get size(): number {
     return this.#limits.size;
   }
 
   /**
-   * Takes in what an answer says, to a request of this host or another. `askedAtMs`: when that was sent; an answer
-   * without the word may be older than one with it that came before.
+   * Applies the notice of a response that arrived at `reportedAtMs`. A response without a limit
+   * lifts the limit only if its request was sent (`askedAtMs`) after the last notice with one:
+   * responses may arrive out of order.
    */
   applyNotice(
     server: BackendServer,
     word: LimitNotice,
     askedAtMs: Milliseconds,
-    saidAtMs: Milliseconds,
+    reportedAtMs: Milliseconds,
   ): LimitChange {
     const known = this.find(server);
-    if (word.kind === 'named') return this.#record(server, word.perSecond, saidAtMs, saidAtMs);
+    if (word.kind === 'named')
+      return this.#record(server, word.perSecond, reportedAtMs, reportedAtMs);
     if (word.kind === 'unreadable' || !known || known.isLifted) return undefined;
-    return askedAtMs > known.reportedAtMs ? this.#lift(known, saidAtMs, saidAtMs) : undefined;
+    return askedAtMs > known.reportedAtMs
+      ? this.#lift(known, reportedAtMs, reportedAtMs)
+      : undefined;
   }
 
-  /** Takes in what another host knows. */
+  /** Merges a limit that another host reports. */
   mergePeerLimit(told: PeerLimit, nowMs: Milliseconds): LimitChange {
-    const { server, perSecond, isLifted: isOver, reportedAtMs: saidAtMs } = told;
+    const { server, perSecond, isLifted, reportedAtMs } = told;
     const known = this.find(server);
-    if (!isOver) return this.#record(server, perSecond, saidAtMs, nowMs);
-    if (!known || known.isLifted || known.reportedAtMs >= saidAtMs) return undefined;
-    return this.#lift(known, saidAtMs, nowMs);
+    if (!isLifted) return this.#record(server, perSecond, reportedAtMs, nowMs);
+    if (!known || known.isLifted || known.reportedAtMs >= reportedAtMs) return undefined;
+    return this.#lift(known, reportedAtMs, nowMs);
   }
 
-  /** What this life of a server said last; undefined where it has named no limit. */
+  /** Returns the last limit of this incarnation of a server; undefined if it has reported none. */
   find(server: BackendServer): ServerLimit | undefined {
     const known = this.#limits.get(server.id);
     return known && isSameIncarnation(known.server, server) ? known : undefined;
   }
 
-  /** What the last life of a server that named one said last. */
+  /** Returns the last limit reported under a server id, whichever incarnation reported it. */
   findById(serverId: string): ServerLimit | undefined {
     return this.#limits.get(serverId);
   }
 
-  /** The requests a second that a server may be sent by all hosts; undefined where there is no limit. */
+  /**
+   * Returns the requests per second that all hosts together may send to a server; undefined if
+   * there is no limit.
+   */
   rateOf(server: BackendServer, nowMs: Milliseconds): number | undefined {
     const known = this.find(server);
     if (!known) return undefined;
@@ -97,21 +121,23 @@
     );
   }
 
-  /** Whether a server may be sent no more than a rate now. */
+  /** Whether a server's request rate is limited now, which includes the ramp-up after a limit. */
   isLimited(server: BackendServer, nowMs: Milliseconds): boolean {
     return this.rateOf(server, nowMs) !== undefined;
   }
 
-  /** All that is known, those that are over included; what is over for long is forgotten. */
+  /**
+   * Returns all limits, including lifted ones, after dropping those beyond their retention time.
+   */
   all(nowMs: Milliseconds): readonly ServerLimit[] {
-    for (const [id, { isLifted: isOver, reportedAtMs: saidAtMs }] of this.#limits) {
-      const knownForMs = isOver ? LIFTED_RETENTION_MS : REPORTED_RETENTION_MS;
-      if (nowMs - saidAtMs > knownForMs) this.#limits.delete(id);
+    for (const [id, { isLifted, reportedAtMs }] of this.#limits) {
+      const retentionMs = isLifted ? LIFTED_RETENTION_MS : REPORTED_RETENTION_MS;
+      if (nowMs - reportedAtMs > retentionMs) this.#limits.delete(id);
     }
     return [...this.#limits.values()];
   }
 
-  /** Forgets a server that has started again or is gone. */
+  /** Removes a server that has restarted or is gone. */
   forget(serverId: string): void {
     this.#limits.delete(serverId);
   }
@@ -119,29 +145,29 @@
   #record(
     server: BackendServer,
     perSecond: number,
-    saidAtMs: Milliseconds,
+    reportedAtMs: Milliseconds,
     nowMs: Milliseconds,
   ): LimitChange {
     const known = this.find(server);
-    if (known && known.reportedAtMs > saidAtMs) return undefined;
+    if (known && known.reportedAtMs > reportedAtMs) return undefined;
     const isSame = known !== undefined && !known.isLifted && known.perSecond === perSecond;
     const changedAtMs = isSame ? known.changedAtMs : nowMs;
     this.#limits.set(server.id, {
       server,
       perSecond,
       isLifted: false,
-      reportedAtMs: saidAtMs,
+      reportedAtMs,
       changedAtMs,
     });
     if (isSame) return undefined;
     return known && !known.isLifted ? 'changed' : 'named';
   }
 
-  #lift(known: ServerLimit, saidAtMs: Milliseconds, nowMs: Milliseconds): LimitChange {
+  #lift(known: ServerLimit, reportedAtMs: Milliseconds, nowMs: Milliseconds): LimitChange {
     this.#limits.set(known.server.id, {
       ...known,
       isLifted: true,
-      reportedAtMs: saidAtMs,
+      reportedAtMs,
       changedAtMs: nowMs,
     });
     return 'over';
--- a/packages/fleet/src/suspicions.test.ts
+++ b/packages/fleet/src/suspicions.test.ts
@@ -3,7 +3,7 @@
 import { Suspicions, withoutAvoided } from './suspicions.js';
 
 describe('Suspicions', () => {
-  it('avoids a server longer each time it fails soon again, and starts anew after a while', () => {
+  it('avoids a server for longer with each relapse, and starts over after a while', () => {
     const suspicions = new Suspicions();
     expect(suspicions.add('a', 0)).toBe(1500);
     expect(suspicions.add('a', 500)).toBe(1000);
@@ -16,7 +16,7 @@
     expect(suspicions.add('a', 60_000)).toBe(1500);
   });
 
-  it('does not avoid a server for less because a host said so that knew less', () => {
+  it('is not shortened by the report of a host that knows of fewer failures', () => {
     const suspicions = new Suspicions();
     suspicions.add('a', 0);
     suspicions.add('a', 2000);
@@ -26,7 +26,7 @@
     expect(suspicions.add('a', 5500)).toBe(6000);
   });
 
-  it('tries a server again that has served, and remembers that it failed', () => {
+  it('stops avoiding a server that has served a request, but counts its next failure as a relapse', () => {
     const suspicions = new Suspicions();
     suspicions.add('a', 0);
     suspicions.clear('a', 100);
@@ -36,7 +36,7 @@
 });
 
 describe('withoutAvoided', () => {
-  it('leaves out one of a few, never more than two in five of many, those longest avoided first', () => {
+  it('leaves out one of a few items and at most two in five of many, those avoided longest first', () => {
     fc.assert(
       fc.property(fc.array(fc.nat(3), { minLength: 1, maxLength: 20 }), (times) => {
         const items = times.map((avoidedMs, index) => ({ avoidedMs, index }));
--- a/packages/fleet/src/suspicions.ts
+++ b/packages/fleet/src/suspicions.ts
@@ -5,20 +5,23 @@
   readonly forMs: Milliseconds;
 }
 
-/** A server that failed is avoided for this long at first. */
+/** Time for which a server is avoided after its first failure. */
 const INITIAL_SUSPICION_MS: Milliseconds = 1500;
-/** Each failure soon after the last doubles that, up to this: faults of a few seconds come in turns. */
+/** Each relapse doubles the time, up to this bound: faults of a few seconds tend to recur. */
 const MAX_SUSPICION_MS: Milliseconds = 12_000;
-/** A failure counts as soon after the last while the server was tried again for less than this. */
+/** A failure counts as a relapse if the last suspicion ended less than this ago. */
 const RELAPSE_WINDOW_MS: Milliseconds = 4000;
-/** At most this share of a service is avoided; the rest could not carry the load of all. */
+/**
+ * Maximum share of a service's servers that is avoided; with more, the rest could not carry the
+ * load of all.
+ */
 const MAX_AVOIDED_SHARE = 0.4;
 
-/** Servers that failed lately, and for how long each is avoided. */
+/** Servers that failed recently, and for how long each is avoided. */
 export class Suspicions {
   readonly #suspicions = new Map<string, Suspicion>();
 
-  /** A server failed; for how long it is avoided from now. */
+  /** Records a failure of a server; returns for how long it is avoided from now. */
   add(serverId: string, nowMs: Milliseconds): Milliseconds {
     const last = this.#suspicions.get(serverId);
     if (last && nowMs < last.untilMs) return last.untilMs - nowMs;
@@ -28,31 +31,36 @@
     return forMs;
   }
 
-  /** Avoids a server for as long as another host said, or as it is avoided anyway. */
+  /**
+   * Avoids a server for `forMs`, as another host reports; a longer suspicion of this host is kept.
+   */
   avoid(serverId: string, forMs: Milliseconds, nowMs: Milliseconds): void {
     const last = this.#suspicions.get(serverId);
     const untilMs = Math.max(nowMs + forMs, last?.untilMs ?? 0);
     this.#suspicions.set(serverId, { untilMs, forMs: Math.max(forMs, last?.forMs ?? 0) });
   }
 
-  /** The server has served; it is avoided no more, but a failure soon after counts as a relapse. */
+  /**
+   * Records that a server served a request: it is no longer avoided, but a failure soon after
+   * counts as a relapse.
+   */
   clear(serverId: string, nowMs: Milliseconds): void {
     const last = this.#suspicions.get(serverId);
     if (last && nowMs < last.untilMs) this.#suspicions.set(serverId, { ...last, untilMs: nowMs });
   }
 
-  /** What the server did before counts no more. */
+  /** Removes the failure history of a server. */
   forget(serverId: string): void {
     this.#suspicions.delete(serverId);
   }
 
-  /** How long a server is avoided still; 0 where it is not. */
+  /** Returns the remaining time for which a server is avoided; 0 if it is not. */
   leftMs(serverId: string, nowMs: Milliseconds): Milliseconds {
     const suspicion = this.#suspicions.get(serverId);
     return suspicion ? Math.max(0, suspicion.untilMs - nowMs) : 0;
   }
 
-  /** Forgets what lies so far back that it counts for nothing. */
+  /** Removes suspicions that are too old for a failure to count as a relapse. */
   expire(nowMs: Milliseconds): void {
     for (const [id, { untilMs }] of this.#suspicions) {
       if (nowMs - untilMs >= RELAPSE_WINDOW_MS) this.#suspicions.delete(id);
@@ -60,15 +68,16 @@
   }
 }
 
-/** Something that may be avoided. */
+/** An item, such as an engine or a server, that may be avoided. */
 export interface Avoidable {
-  /** How long it is avoided still; 0 where it is not. */
+  /** Remaining time for which it is avoided; 0 if it is not. */
   readonly avoidedMs: Milliseconds;
 }
 
 /**
- * Leaves out those that are avoided, those first that are avoided longest: one of a few, and never
- * more than two in five of many.
+ * Returns the items without the avoided ones. If there are too many of those, only the ones that
+ * are avoided longest are left out: at most `MAX_AVOIDED_SHARE` of all items, but at least one if
+ * there are several.
  */
 export function withoutAvoided<Item extends Avoidable>(items: readonly Item[]): readonly Item[] {
   const most = items.length > 1 ? Math.max(1, Math.floor(items.length * MAX_AVOIDED_SHARE)) : 0;
--- a/packages/fleet/src/turned-away.ts
+++ b/packages/fleet/src/turned-away.ts
@@ -1,25 +1,31 @@
 import type { Milliseconds } from '@poppypond/core';
 
-/** A server that turned a request away may do so again for a few seconds: faults and bursts last so long. */
+/**
+ * A server that rejected a request may reject others for a few seconds, which is how long faults
+ * and bursts last.
+ */
 const RECENT_MS: Milliseconds = 3000;
 
 /**
- * Servers that turned a request of this host away lately. They serve many others meanwhile, so none is avoided for it;
- * but a request that was turned away once, and has one attempt left, goes to another: where a quarter of the engines turn
- * all away, and later more, 0.86 of a day's worth is earned in place of 0.83, and 0.81 in place of 0.79 (two
- * deployments, one day each on equal seeds). Avoiding such servers for all requests gains more on that day and costs as
- * much where servers turn half of their requests away.
+ * Servers that recently rejected a request of this host. They may still serve many others, so they
+ * are not avoided in general; only a request that was rejected once and has one attempt left goes
+ * to another server. In simulations in which a quarter of the engines, and later more, reject all
+ * requests, this earns 0.86 instead of 0.83 and 0.81 instead of 0.79 of a day's value (two
+ * deployments, one day each, equal seeds). Avoiding such servers for all requests gains more there,
+ * but costs as much if servers reject half of their requests.
  */
 export class RecentRejections {
   readonly #rejectedAtMs = new Map<string, Milliseconds>();
 
-  /** A server turned a request away. */
+  /** Records that a server rejected a request. */
   record(serverId: string, nowMs: Milliseconds): void {
     this.#rejectedAtMs.delete(serverId);
     this.#rejectedAtMs.set(serverId, nowMs);
   }
 
-  /** Those that did so lately. */
+  /**
+   * Returns the ids of the servers that rejected a request within the last 3 s, the latest last.
+   */
   recentIds(nowMs: Milliseconds): readonly string[] {
     for (const [id, atMs] of this.#rejectedAtMs) {
       if (nowMs - atMs <= RECENT_MS) break;
