--- a/packages/fleet/src/resting-servers.test.ts
+++ b/packages/fleet/src/resting-servers.test.ts
@@ -4,10 +4,10 @@
 import { MAX_BACKOFF_MS, ServerBackoffs } from './resting-servers.js';
 
 const SERVER = engineServer('i-1');
-const atOnce = () => 0;
+const noJitter = () => 0;
 
-describe('RestingServers', () => {
-  it('lets nothing through for as long as any of its words asked for', () => {
+describe('ServerBackoffs', () => {
+  it('sends nothing until the latest of the requested backoffs has ended', () => {
     fastCheck.assert(
       fastCheck.property(
         fastCheck.array(
@@ -18,32 +18,32 @@
           { minLength: 1 },
         ),
         fastCheck.nat(30_000),
-        (words, lookMs) => {
-          const rests = new ServerBackoffs(atOnce);
+        (backoffsAsked, checkAfterMs) => {
+          const rests = new ServerBackoffs(noJitter);
           let nowMs = 0;
           let untilMs = 0;
-          for (const { afterMs, forMs } of words) {
+          for (const { afterMs, forMs } of backoffsAsked) {
             nowMs += afterMs;
             rests.begin(SERVER, forMs, nowMs);
             untilMs = Math.max(untilMs, nowMs + forMs);
           }
-          const atMs = nowMs + lookMs;
+          const atMs = nowMs + checkAfterMs;
           expect(rests.canSend(SERVER, atMs)).toBe(atMs >= untilMs);
         },
       ),
     );
   });
 
-  it('binds one life of one server', () => {
-    const rests = new ServerBackoffs(atOnce);
+  it('applies to one incarnation of one server', () => {
+    const rests = new ServerBackoffs(noJitter);
     rests.begin(SERVER, 3000, 0);
     expect(rests.canSend(engineServer('i-2'), 10)).toBe(true);
     expect(rests.canSend({ ...SERVER, startedAtMs: 5 }, 10)).toBe(true);
     expect(rests.canSend(SERVER, 10)).toBe(false);
   });
 
-  it('returns by steps: twice as many at once with each that is answered', () => {
-    const rests = new ServerBackoffs(atOnce);
+  it('ramps up: each answer doubles the number of concurrent requests', () => {
+    const rests = new ServerBackoffs(noJitter);
     rests.begin(SERVER, 3000, 0);
     const sendAll = (round: number) => {
       const sent: string[] = [];
@@ -63,8 +63,8 @@
     expect(counts).toEqual([1, 2, 8, 100]);
   });
 
-  it('begins at one again after another rest, and lets attempts without an answer go', () => {
-    const rests = new ServerBackoffs(atOnce);
+  it('starts at one again after another backoff, and stops counting attempts that end without an answer', () => {
+    const rests = new ServerBackoffs(noJitter);
     rests.begin(SERVER, 1000, 0);
     rests.onSent(SERVER, 'a', 1000);
     expect(rests.canSend(SERVER, 1000)).toBe(false);
@@ -77,8 +77,8 @@
     expect(rests.canSend(SERVER, 3000)).toBe(false);
   });
 
-  it('lets two orders through while it rests, and tells each rest once', () => {
-    const rests = new ServerBackoffs(atOnce);
+  it('allows two reservation commands during a backoff, and reports each backoff once', () => {
+    const rests = new ServerBackoffs(noJitter);
     expect(rests.begin(SERVER, 3000, 0).isNew).toBe(true);
     expect(rests.begin(SERVER, 3000, 100).isNew).toBe(false);
     expect([1, 2, 3].map(() => rests.tryReservationCommand(SERVER, 200))).toEqual([
@@ -89,8 +89,8 @@
     expect(rests.tryReservationCommand(SERVER, 3100)).toBe(true);
   });
 
-  it('tries a server that asked for absurdly long after its longest rest, and forgets old ones', () => {
-    const rests = new ServerBackoffs(atOnce);
+  it('caps a backoff that is far too long, and drops old ones', () => {
+    const rests = new ServerBackoffs(noJitter);
     rests.begin(SERVER, 1e12, 0);
     expect(rests.leftMs(SERVER, 0)).toBe(MAX_BACKOFF_MS);
     rests.begin(engineServer('i-2'), 100, MAX_BACKOFF_MS + 60_001);
