--- a/packages/relay/src/compose.ts
+++ b/packages/relay/src/compose.ts
@@ -38,12 +38,12 @@
 import { KeyTrust } from './store/key-trust.js';
 import { ServerList } from './store/server-list.js';
 
-/** What one relay process consists of before it has opened any port. */
+/** The parts of a relay process that exist before it opens a port. */
 export interface RelayBase {
   readonly settings: RelaySettings;
   readonly ports: PlatformPorts;
   readonly store: CountedStore;
-  /** Names this life of the process; new with each start. */
+  /** Identifies this incarnation of the process; new on each start. */
   readonly incarnation: string;
   readonly clock: Clock;
   readonly output: BoundedOutput;
@@ -63,15 +63,19 @@
   readonly pauseDetector: PauseDetector;
 }
 
-/** A server that leaves is sent nothing this long before it must be sent nothing, for the way to it. */
+/**
+ * Requests to a leaving server stop this much before the bound on them, to allow for network delay.
+ */
 const LAST_RESORT_MARGIN_MS: Milliseconds = 200;
 const random = Math.random;
 
-/** A key counts for this much less than allowed, for the way between check and use. */
+/**
+ * A key is trusted for this much less than allowed, to allow for the time between check and use.
+ */
 const KEY_MARGIN_MS: Milliseconds = 200;
 const MS_PER_SECOND = 1000;
 
-/** Makes what a relay consists of before it opens its ports. */
+/** Creates the parts of a relay that need no open port. */
 export function composeBase(settings: RelaySettings, ports: PlatformPorts): RelayBase {
   const { host, logLevel } = settings;
   const { incarnation } = newOwner(host);
@@ -153,11 +157,11 @@
 }
 
 /**
- * Pause between heartbeats, as a share of the shorter bound on what hosts tell each other: what a
- * reader knows is 0.4 of the bound old at most, and a heartbeat may be lost.
+ * Heartbeat period, as a share of the shorter propagation bound: what a store reader knows is at
+ * most 0.4 of the bound old, and one heartbeat may be lost.
  */
 const HEARTBEAT_SHARE = 0.25;
-/** Heartbeats mend what messages about attempts were lost, so they come at least this often. */
+/** Heartbeats also repair lost messages about attempts, so they are sent at least this often. */
 const MAX_HEARTBEAT_PERIOD_MS: Milliseconds = 1000;
 const MIN_HEARTBEAT_PERIOD_MS: Milliseconds = 100;
 
@@ -169,13 +173,15 @@
   return Math.max(MIN_HEARTBEAT_PERIOD_MS, Math.min(MAX_HEARTBEAT_PERIOD_MS, periodMs));
 }
 
-/** How other relays reach this one. */
+/** The address at which other relays reach this one. */
 export function selfAddress(settings: RelaySettings): PeerAddress {
   const { host, address, availabilityZone, peerPort, coreShare, coreSpeed } = settings;
   return { host, address, port: peerPort, availabilityZone, capacity: coreShare * coreSpeed };
 }
 
-/** Makes the mesh that speaks to other relays through `sender`, and what plans with them. */
+/**
+ * Creates the mesh that talks to other relays through `sender`, and the planning that builds on it.
+ */
 export function composePeers(
   base: RelayBase,
   sender: PeerSender,
@@ -228,7 +234,7 @@
   return { peers, placement, planner };
 }
 
-/** Makes what every request shares. */
+/** Creates the parts that all requests share. */
 export function composeParts(
   base: RelayBase,
   peers: PeerMesh,
--- a/packages/relay/src/pause-detector.test.ts
+++ b/packages/relay/src/pause-detector.test.ts
@@ -2,8 +2,8 @@
 import { describe, expect, it } from 'vitest';
 import { PauseDetector } from './pause-detector.js';
 
-describe('PauseWatch', () => {
-  it('tells of a pause at the first look after it, once, and of nothing else', async () => {
+describe('PauseDetector', () => {
+  it('reports a pause once, at the first check after it, and nothing else', async () => {
     const clock = new ManualClock();
     const detector = new PauseDetector(clock);
     const pauses: number[] = [];
--- a/packages/relay/src/pause-detector.ts
+++ b/packages/relay/src/pause-detector.ts
@@ -2,18 +2,18 @@
 
 const CHECK_PERIOD_MS: Milliseconds = 250;
 /**
- * A process that did nothing for this long was stopped, or its machine suspended; hosts that run eight times
- * slower than usual are not taken for that. Peers count a host as silent after 2.5 s.
+ * A process that did not run for this long was stopped, or its host was suspended. A host that runs
+ * eight times slower than usual stays below this. Peers consider a host silent after 2.5 s.
  */
 const MIN_PAUSE_MS: Milliseconds = 1000;
 
-/** Called with the time for which the process stood still. */
+/** Receives the duration of a process pause. */
 export type PauseListener = (pausedMs: Milliseconds) => void;
 
 /**
- * Notices that the process stood still. What it believed is old then: others may have taken over from it,
- * and nothing that was told meanwhile has reached it. To be asked before anything that comes from outside is
- * taken in, as a timer may be later than that.
+ * Detects that the process was paused. After a pause its state is stale: other hosts may have taken
+ * over from it, and messages sent meanwhile have not reached it. Call `check` before processing any
+ * outside input, since a timer may fire only after that input.
  */
 export class PauseDetector {
   #lastCheckAtMs: Milliseconds;
@@ -23,12 +23,12 @@
     this.#lastCheckAtMs = clock.monotonicMs();
   }
 
-  /** `listener` is called after each pause, before what came first after it is taken in. */
+  /** Calls `listener` after each pause, before the first input after the pause is processed. */
   onPause(listener: PauseListener): void {
     this.#listeners.push(listener);
   }
 
-  /** Looks from time to time, until the function returned is called. */
+  /** Checks periodically until the returned function is called. */
   start(): CancelTimer {
     this.#lastCheckAtMs = this.clock.monotonicMs();
     return this.clock.every(CHECK_PERIOD_MS, () => {
@@ -36,7 +36,7 @@
     });
   }
 
-  /** Looks now. */
+  /** Checks for a pause now. */
   check(): void {
     const nowMs = this.clock.monotonicMs();
     const pausedMs = nowMs - this.#lastCheckAtMs;
--- a/packages/relay/src/ports.ts
+++ b/packages/relay/src/ports.ts
@@ -4,119 +4,125 @@
 import type { IncomingMessage } from 'node:http';
 import type { Result } from 'true-myth';
 
-/** Header names and values by turns, as they go over the wire. */
+/** Alternating header names and values, as in Node's `rawHeaders`. */
 export type HeaderPairs = readonly string[];
 
-/** The head of a caller's request. Its body is opaque. */
+/** Head of a caller's request. The body is opaque to the relay. */
 export interface CallerHead {
-  /** The caller's own identifier of this request; passed on unchanged. */
+  /** Request id set by the caller; forwarded unchanged. */
   readonly requestId: string;
   readonly method: string;
   readonly hostName: string;
-  /** Path and query as they came. */
+  /** Path and query, unmodified. */
   readonly path: string;
   readonly key: string | undefined;
-  /** How long the caller waits; undefined where it doesn't say. */
+  /** The caller's timeout; undefined if the request states none. */
   readonly timeoutMs: Milliseconds | undefined;
-  /** Tokens of the prompt; 0 where the head doesn't tell. */
+  /** Prompt length in tokens; 0 if the head does not state it. */
   readonly promptTokens: number;
-  /** The most tokens that may come out; 0 where the head doesn't tell. */
+  /** Maximum number of output tokens; 0 if the head does not state it. */
   readonly answerTokens: number;
-  /** The last event that the caller has, of a stream that it takes up again. */
+  /** Id of the last event that the caller received, if it resumes a stream. */
   readonly lastEventId: number | undefined;
-  /** Headers that are passed on unchanged. */
+  /** Headers that are forwarded unchanged. */
   readonly forwarded: HeaderPairs;
 }
 
-/** What the relay adds to a request that it hands to a backend server. */
+/** What the relay adds to a request that it sends to a backend server. */
 export interface AttemptHead {
   readonly server: BackendServer;
   readonly timeLeftMs: Milliseconds;
   /** Undefined on routes that need no key. */
   readonly workspace: string | undefined;
-  /** In which order an engine lets in what waits there, 0 first; undefined for plain services. */
+  /** Order in which an engine admits waiting requests, 0 first; undefined for plain services. */
   readonly priority: number | undefined;
   readonly lastEventId: number | undefined;
-  /** Engines that read a part of the prompt, in the order in which memory is filled. */
+  /** Engines that prefill a part of the prompt, in the order in which their memory is filled. */
   readonly readers: readonly PrefillEngineAddress[];
   readonly bodyLength: number;
 }
 
-/** An engine that reads a part of a prompt, and the memory that is held there for it. */
+/** An engine that prefills a part of a prompt, and the memory reserved there for it. */
 export interface PrefillEngineAddress {
   readonly address: string;
   readonly port: number;
   readonly reservation: string | undefined;
 }
 
-/** What a server says of itself in an answer, whatever it answers. */
+/** What a server reports about itself in the headers of any response. */
 export interface ServerNotice {
-  /** Whether it leaves, and wants no new requests from any host. */
+  /** Whether the server is leaving and accepts no new requests from any host. */
   readonly isLeaving: boolean;
-  /** For how long it wants nothing from this host; undefined where it doesn't ask for rest. */
+  /** How long this host must send it no requests; undefined if the server asks for no backoff. */
   readonly backoffMs: Milliseconds | undefined;
-  /** What it says of a limit for all hosts together; undefined where the answer can't tell. */
+  /**
+   * The rate limit that the server reports for all hosts together; undefined if the response cannot
+   * carry one.
+   */
   readonly limit?: LimitNotice | undefined;
 }
 
-/** The head of a backend server's answer. */
+/** Head of a backend server's response. */
 export interface ResponseHead {
   readonly status: number;
-  /** The request that the server says it answers. */
+  /** Id of the request that the server says it responds to. */
   readonly requestId: string | undefined;
-  /** Whether the server vouches for the answer as its own. */
+  /** Whether the response carries the server's own signature. */
   readonly isSigned: boolean;
-  /** Whether the server confirms that nothing was run. */
+  /** Whether the server confirms that it executed nothing. */
   readonly isNotExecuted: boolean;
-  /** The engine, by id or `ADDRESS:PORT`, for want of which another could not serve. */
+  /** Engine, by id or `ADDRESS:PORT`, whose failure kept the responding engine from serving. */
   readonly faultyEngine: string | undefined;
-  /** What the server says of itself. */
+  /** What the server reports about itself. */
   readonly word: ServerNotice;
-  /** Headers for the caller, without those of one connection or of the body's length. */
+  /** Headers for the caller, without hop-by-hop headers and without the body's length. */
   readonly forwarded: HeaderPairs;
 }
 
-/** Reads and writes heads of requests and answers in the form that callers and servers speak. */
+/** Parses and builds the heads of requests and responses on the wire. */
 export interface RelayWire {
-  /** Undefined where the head lacks what every request must have. */
+  /** Returns undefined if the head lacks a required header. */
   parseCallerHead(message: IncomingMessage): CallerHead | undefined;
   attemptHeaders(caller: CallerHead, attempt: AttemptHead): HeaderPairs;
   parseResponseHead(message: IncomingMessage): ResponseHead;
-  /** Headers of a refusal. */
+  /** Headers of a response that refuses a request. */
   refusalHeaders(
     caller: CallerHead | undefined,
     retryAfterMs: Milliseconds | undefined,
   ): HeaderPairs;
-  /** The path that the balancer asks whether this host takes requests. */
+  /** Path that the load balancer polls to learn whether this host takes requests. */
   readonly readinessPath: string;
 }
 
-/** One row of the platform's table. */
+/** A row of the platform's table store. */
 export interface StoredRow {
   readonly key: string;
-  /** Undefined where the row was removed. */
+  /** Undefined if the row was deleted. */
   readonly value: Buffer | undefined;
 }
 
-/** Rows as of one moment, or changes up to it. */
+/** Rows as of one version, or the rows changed up to it. */
 export interface RowSet {
   readonly rows: readonly StoredRow[];
-  /** The newest version of the table; changes are asked for after it. */
+  /** Newest version of the table; later changes are requested from here. */
   readonly version: number;
-  /** The store's own steady clock at that moment. */
+  /** The store's monotonic clock at that version. */
   readonly storeNowMs: Milliseconds;
 }
 
-/** Why the store gave no result. After `no_answer` a write may have been done, or may be done later. */
+/**
+ * Why a store call returned no result. After `no_answer` a write may have been applied, or may be
+ * applied later.
+ */
 export interface StoreFailure {
   readonly kind: 'history_gone' | 'refused' | 'no_answer';
   readonly detail: string;
 }
 
-/** The platform's table service. */
+/** The platform's table store. */
 export interface RowStore {
   read(table: string): Promise<Result<RowSet, StoreFailure>>;
-  /** Answers as soon as something changed after `version`, and after `waitMs` in any case. */
+  /** Long poll: resolves on the first change after `version`, or after `waitMs`. */
   changes(
     table: string,
     version: number,
@@ -126,65 +132,70 @@
   remove(table: string, key: string): Promise<Result<number, StoreFailure>>;
 }
 
-/** Where the platform keeps what operators and backend servers write, and in which form. */
+/**
+ * Tables and keys under which operators and backend servers write, and the encoding of the values.
+ */
 export interface PlatformRows {
   readonly configurationTable: string;
   readonly configurationKey: string;
   readonly serverTable: string;
-  /** Undefined where the value can't be read. */
+  /** Returns undefined if the value cannot be decoded. */
   parseConfiguration(value: Buffer): RoutingConfiguration | undefined;
-  /** The error tells why an entry, which may come from another writer, names no server to use. */
+  /**
+   * The error says why the entry, which another kind of writer may have written, describes no
+   * usable server.
+   */
   parseServer(id: string, value: Buffer): Result<BackendServer, string>;
 }
 
-/** What an engine says of itself, as it was some hundred milliseconds ago. */
+/** Status reported by an engine, a few hundred milliseconds old. */
 export interface EngineStatus {
-  /** Requests that have a place. */
+  /** Requests that occupy a slot. */
   readonly running: number;
-  /** Tokens of theirs in its memory. */
+  /** Tokens that these requests hold in the engine's memory. */
   readonly memoryTokens: number;
-  /** Unix time at which the life began that answered; undefined where it doesn't tell. */
+  /** Unix time at which the responding incarnation started; undefined if not reported. */
   readonly startedAtMs?: Milliseconds | undefined;
-  /** What the engine says of itself. */
+  /** What the engine reports about itself. */
   readonly word?: ServerNotice | undefined;
 }
 
-/** An engine's answer to an order to hold memory. */
+/** Result of reserving memory on an engine. */
 export interface ReserveResult {
-  /** What the engine says of itself; undefined where no answer came. */
+  /** What the engine reports about itself; undefined if it did not respond. */
   readonly word?: ServerNotice | undefined;
-  /** Whether the memory is held. */
+  /** Whether the memory is reserved. */
   readonly isHeld: boolean;
-  /** For how long, where that is longer than was asked for. */
+  /** Duration of the reservation, if longer than requested. */
   readonly heldForMs?: Milliseconds;
-  /** Unix time at which the life began that answered; undefined where it doesn't tell. */
+  /** Unix time at which the responding incarnation started; undefined if not reported. */
   readonly startedAtMs?: Milliseconds | undefined;
 }
 
-/** An engine's answer to an order to free memory. */
+/** Result of releasing reserved memory on an engine. */
 export interface ReleaseResult {
-  /** False where no answer came. */
+  /** False if the engine did not respond. */
   readonly isAnswered: boolean;
-  /** What the engine says of itself; undefined where no answer came. */
+  /** What the engine reports about itself; undefined if it did not respond. */
   readonly word?: ServerNotice | undefined;
 }
 
-/** Engines' memory that is held for requests. Orders without an answer may be carried out later. */
+/** Memory reservations on engines. A command without a response may still be executed later. */
 export interface EngineMemory {
-  /** Holds memory for `holdMs` from now, or holds it that much longer. */
+  /** Reserves memory for `holdMs` from now, or renews the reservation for that long. */
   reserve(
     server: BackendServer,
     id: string,
     tokens: number,
     holdMs: Milliseconds,
   ): Promise<ReserveResult>;
-  /** Frees it. */
+  /** Releases the reservation. */
   release(server: BackendServer, id: string): Promise<ReleaseResult>;
-  /** What the engine runs; undefined where it does not answer. Each question is priced. */
+  /** Queries the status of an engine; undefined if it does not respond. Each query is billed. */
   readStatus(server: BackendServer): Promise<EngineStatus | undefined>;
 }
 
-/** What a platform provides: its store and the forms in which it speaks. */
+/** What a platform provides: its store, the encoding of its rows, and its wire formats. */
 export interface PlatformPorts {
   readonly store: RowStore;
   readonly rows: PlatformRows;
--- a/packages/relay/src/relay-gauges.ts
+++ b/packages/relay/src/relay-gauges.ts
@@ -2,11 +2,11 @@
 import type { PeerMesh } from './peers/peer-mesh.js';
 import type { Planner } from './planning/planner.js';
 
-/** Keeps the gauges of one relay at what holds; docs/METRICS.md. */
+/** Updates the gauges of a relay; see docs/METRICS.md. */
 export class RelayGauges {
   constructor(readonly base: RelayBase) {}
 
-  /** `openCount`: requests that are being served. */
+  /** `openCount` is the number of requests being served. */
   set(openCount: number, peers: PeerMesh, planner: Planner): void {
     const { freshness, activeConfiguration, keyTrust, measures, servers } = this.base;
     keyTrust.verdict();
@@ -18,7 +18,9 @@
     this.#setLimits(planner);
   }
 
-  /** Which servers name limits now, and what this host gave out of them. */
+  /**
+   * Sets the rate limits that servers report now, and the permits that this host granted from them.
+   */
   #setLimits(planner: Planner): void {
     const { clock, limits, measures } = this.base;
     const named = limits.all(clock.monotonicMs()).filter(({ isLifted }) => !isLifted);
--- a/packages/relay/src/relay.ts
+++ b/packages/relay/src/relay.ts
@@ -21,7 +21,7 @@
 import { startWatches } from './store/start-watches.js';
 import { StoreTurns } from './store/store-turns.js';
 
-/** What takes and serves requests, from the start on. */
+/** The components that accept and serve requests. */
 interface RelayComponents {
   readonly peers: PeerMesh;
   readonly planner: Planner;
@@ -30,18 +30,26 @@
 }
 
 const DEFAULT_BODY_BYTES = 4 * 1024 * 1024;
-/** Idle connections are kept for twice what callers are told, so none is closed under a request. */
+/**
+ * Idle connections stay open for twice the keep-alive timeout that callers are told, so that no
+ * connection is closed while a request arrives on it.
+ */
 const IDLE_FACTOR = 2;
-/** Pauses between tries to join, short at first: until then a host plans for itself. */
+/**
+ * Backoff between attempts to join, short at first: until it has joined, a host plans on its own.
+ */
 const INITIAL_JOIN_BACKOFF_MS: Milliseconds = 100;
 const MAX_JOIN_BACKOFF_MS: Milliseconds = 1200;
-/** After SIGTERM the balancer asks twice, a second apart, before it sends nothing more. */
+/**
+ * After SIGTERM the load balancer polls readiness twice, one second apart, before it stops sending
+ * requests.
+ */
 const BALANCER_DRAIN_MS: Milliseconds = 2500;
-/** Part of the grace that is kept for leaving in order. */
+/** Part of the grace period that is kept for an orderly shutdown. */
 const STOP_MARGIN_MS: Milliseconds = 600;
-/** Pause between looks whether any request is still open. */
+/** Interval between checks for open requests. */
 const DRAIN_POLL_PERIOD_MS: Milliseconds = 50;
-/** The most that is given to the last lines. */
+/** Time limit for writing the last log lines. */
 const LOG_DRAIN_MS: Milliseconds = 100;
 const GAUGE_PERIOD_MS: Milliseconds = 1000;
 const MS_PER_SECOND = 1000;
@@ -53,7 +61,7 @@
   };
 }
 
-/** One relay process, from start to stop. */
+/** A relay process, from start to stop. */
 export class Relay {
   readonly #base: RelayBase;
   readonly #directory: MemberDirectory;
@@ -70,8 +78,9 @@
   }
 
   /**
-   * Starts everything; resolves when callers may connect, or with the reason why they can't. Then
-   * nothing stays open, so that the process ends and its host can start it again.
+   * Starts all components. Resolves when callers can connect, or with the reason why the start
+   * failed. After a failure nothing stays open, so that the process exits and the host can restart
+   * it.
    */
   async start(): Promise<Result<Unit, string>> {
     try {
@@ -86,7 +95,7 @@
     }
   }
 
-  /** Opens all ports; rejects when one is taken. */
+  /** Opens all ports; rejects if one is in use. */
   async #open(): Promise<void> {
     const { settings } = this;
     const { log, incarnation, pauseDetector } = this.#base;
@@ -120,7 +129,10 @@
     });
   }
 
-  /** Leaves the balancer, finishes what was taken, and resolves within the grace. */
+  /**
+   * Withdraws from the load balancer, finishes the accepted requests, and resolves within the grace
+   * period.
+   */
   async stop(): Promise<void> {
     if (this.#isStopping) return;
     this.#isStopping = true;
@@ -129,7 +141,7 @@
     const untilMs = nowMs + this.settings.stopGraceSeconds * MS_PER_SECOND - STOP_MARGIN_MS;
     log.warn('stopping', { open: this.#openCount, within_ms: Math.round(untilMs - nowMs) });
     await delay(clock, BALANCER_DRAIN_MS);
-    // Requests on kept connections would still come, and those that come late can't be finished.
+    // Requests would keep arriving on kept-alive connections, and late ones could not be finished.
     this.#components?.callerListener.close();
     while (this.#openCount > 0 && clock.monotonicMs() < untilMs) {
       this.#components?.callerListener.closeIdle();
@@ -145,7 +157,10 @@
     for (const close of this.#onStop) close();
   }
 
-  /** The settings were read again, or could not be for `problem`; logs which, and changes none. */
+  /**
+   * Logs the outcome of re-reading the settings; `problem` says why it failed. Running settings do
+   * not change.
+   */
   onReload(problem: string | undefined): void {
     const { log } = this.#base;
     if (problem === undefined) log.warn('reloaded', { settings: this.settings.settings });
@@ -175,7 +190,7 @@
     return { peers, planner, serving, callerListener };
   }
 
-  /** After a pause, what is known is asked for anew before anything is decided by it. */
+  /** After a process pause, refreshes what this host knows before it decides anything by it. */
   #handlePauses(peers: PeerMesh): void {
     const { log, pauseDetector } = this.#base;
     pauseDetector.onPause((pausedMs) => {
@@ -191,7 +206,7 @@
     void seeSuspensions(log);
   }
 
-  /** Opens what the balancer and those who read metrics ask. */
+  /** Opens the ports for readiness checks and metrics. */
   async #openStatusServers(): Promise<void> {
     const { settings, ports } = this;
     const { measures } = this.#base;
@@ -208,7 +223,7 @@
     );
   }
 
-  /** Follows the store, and keeps the gauges at what holds. */
+  /** Starts the store watches and the periodic gauge updates. */
   #startWatches({ peers, planner, callerListener }: RelayComponents, turns: StoreTurns): void {
     const gauges = new RelayGauges(this.#base);
     const stopWatches = startWatches(this.#base, peers, turns, ({ configuration }) => {
--- a/packages/relay/src/settings.test.ts
+++ b/packages/relay/src/settings.test.ts
@@ -3,7 +3,7 @@
 import { describe, expect, it } from 'vitest';
 import { RELAY_SETTINGS } from './settings.js';
 
-/** What every installation gives. */
+/** Settings that every installation provides. */
 const REQUIRED_SETTINGS = {
   host: 'host-1',
   availabilityZone: 'zone-a',
@@ -14,7 +14,7 @@
   store: '10.0.0.2:8002',
 };
 
-/** What an installation fills with figures of its own. */
+/** Numeric settings that an installation may change. */
 const NUMERIC_SETTINGS = [
   'coreShare',
   'coreSpeed',
@@ -29,7 +29,7 @@
 
 const DAY_MS = 24 * 60 * 60 * 1000;
 
-/** Whole, fractional, zero or very large. */
+/** Integers, fractions, zero and very large numbers. */
 const numericValue = fc.oneof(
   fc.nat(),
   fc.double({ min: 0, max: 1, noNaN: true }),
@@ -38,13 +38,13 @@
 );
 
 describe('RELAY_SETTINGS', () => {
-  it('takes any figure that an installation may have, and each may be missing', () => {
+  it('accepts any numeric value, and allows each numeric setting to be missing', () => {
     const figures = Object.fromEntries(
       NUMERIC_SETTINGS.map((key) => [key, fc.option(numericValue)]),
     );
     fc.assert(
-      fc.property(fc.record(figures), (drawn) => {
-        const present = Object.entries(drawn).filter(([, value]) => value !== null);
+      fc.property(fc.record(figures), (values) => {
+        const present = Object.entries(values).filter(([, value]) => value !== null);
         const loaded = loadSettings(
           RELAY_SETTINGS,
           { ...REQUIRED_SETTINGS, ...Object.fromEntries(present), fieldOfLaterVersions: {} },
@@ -56,7 +56,7 @@
     );
   });
 
-  it('keeps a share of retries that is no whole number, and durations within what timers count', () => {
+  it('keeps a fractional retry slack, and caps durations at what timers support', () => {
     const loaded = loadSettings(
       RELAY_SETTINGS,
       { ...REQUIRED_SETTINGS, retrySlack: 38.4, leavingWithinMs: 1e12 },
@@ -68,13 +68,13 @@
     });
   });
 
-  it('takes the names that an installation gives its hosts', () => {
+  it('accepts host names in any usual notation', () => {
     for (const host of ['Front_7', 'front-7.zone-a.example', 'f'.repeat(100)]) {
       expect(loadSettings(RELAY_SETTINGS, { ...REQUIRED_SETTINGS, host }, {}).isOk).toBe(true);
     }
   });
 
-  it('names the field of what it cannot take, in one line', () => {
+  it('names the setting of an invalid value in a one-line error', () => {
     for (const [key, value] of [
       ['retrySlack', 'many'],
       ['leavingWithinMs', -1],
--- a/packages/relay/src/settings.ts
+++ b/packages/relay/src/settings.ts
@@ -9,7 +9,7 @@
 
 const addressAndPort = z.string().regex(/^[^:]+:\d+$/, 'use ADDRESS:PORT');
 
-/** The settings of `poppypond-relay`. See docs/OPERATIONS.md. */
+/** Settings of `poppypond-relay`; see docs/OPERATIONS.md. */
 export const RELAY_SETTINGS = {
   settings: z.string().optional().describe('JSON file with any of these settings in camel case'),
   host: givenNameSetting.describe('name of this host'),
@@ -18,41 +18,47 @@
   listen: addressAndPort.describe('address and port for callers'),
   readinessListen: addressAndPort.describe('address and port for the balancer'),
   coreShare: numberSetting.default(1).describe('share of a core that this host has'),
-  coreSpeed: numberSetting.default(1).describe('speed of that core, against the usual'),
+  coreSpeed: numberSetting.default(1).describe('speed of that core relative to the usual one'),
   peerPort: portSetting.describe('UDP port for other relays'),
   metricsPort: portSetting.default(9464).describe('port of /metrics on the address of this host'),
   store: addressAndPort.describe('address and port of the platform store'),
   keysTrustedMs: boundSetting
     .default(5000)
-    .describe('the configuration counts as proved newest for this long'),
+    .describe('how long the configuration counts as confirmed to be the newest'),
   keysNeedProof: yesNoSetting
     .default(true)
-    .describe('refuse keys without that proof; else serve by the last known configuration'),
+    .describe(
+      'refuse keys without that confirmation; otherwise serve by the last known configuration',
+    ),
   configurationWithinMs: boundSetting
     .default(2000)
-    .describe('a new configuration is in force on every host this long after it was taken'),
+    .describe(
+      'time within which a new configuration is active on every host after the store accepted it',
+    ),
   leavingWithinMs: boundSetting
     .default(2000)
-    .describe('servers get no new work this long after it was taken that they leave'),
-  retryRatio: numberSetting.default(0.2).describe('retries for each request of all hosts'),
+    .describe(
+      'time within which a leaving server gets no new work after the store accepted its entry',
+    ),
+  retryRatio: numberSetting.default(0.2).describe('retries per request, over all hosts'),
   retryWindowSeconds: numberSetting.default(10).describe('window in which retries are counted'),
   retrySlack: numberSetting
     .default(100)
-    .describe('retries of all hosts in a window beyond the ratio'),
+    .describe('retries of all hosts per window in addition to the ratio'),
   isFirstStart: yesNoSetting
     .default(false)
-    .describe('the whole fleet starts for the first time, so no host is listed yet'),
+    .describe('the whole fleet starts for the first time, so that no host is listed yet'),
   stopGraceSeconds: numberSetting.default(8).describe('time from SIGTERM to SIGKILL'),
   logLevel: z
     .enum(['debug', 'info', 'warn', 'error'])
     .default('info')
-    .describe('least level of lines'),
+    .describe('minimum level that is logged'),
 } as const;
 
-/** Checked settings. */
+/** Validated settings. */
 export type RelaySettings = z.infer<z.ZodObject<typeof RELAY_SETTINGS>>;
 
-/** Splits the text of an `ADDRESS:PORT` setting. */
+/** Splits an `ADDRESS:PORT` setting. */
 export function splitAddress(text: string): { readonly address: string; readonly port: number } {
   const [address = '', port = '0'] = text.split(':');
   return { address, port: Number(port) };
