--- a/packages/relay/src/compose.ts
+++ b/packages/relay/src/compose.ts
@@ -100,11 +100,11 @@
   const notices = new ServerNotices({ clock, log, measures, host, servers, rests, limits });
   const gate = new SendGate({ clock, servers, rests, limits, random });
   const handlers = {
-    onStartTime: (asked: BackendServer, startedAtMs: Milliseconds) => {
-      servers.onStartTime(asked, startedAtMs);
+    onStartTime: (queried: BackendServer, startedAtMs: Milliseconds) => {
+      servers.onStartTime(queried, startedAtMs);
     },
-    onNotice: (asked: BackendServer, word: ServerNotice) => {
-      notices.recordNotice(asked, word);
+    onNotice: (server: BackendServer, word: ServerNotice) => {
+      notices.recordNotice(server, word);
     },
   };
   const memory = new GatedEngineMemory(ports.memory, handlers, gate);
--- a/packages/relay/src/planning/limited-servers.test.ts
+++ b/packages/relay/src/planning/limited-servers.test.ts
@@ -8,8 +8,8 @@
 import { Planner } from './planner.js';
 
 const PER_SECOND = 2;
-const SHORT = 900;
-const LONG = 300_000;
+const SHORT_PROMPT_TOKENS = 900;
+const LONG_PROMPT_TOKENS = 300_000;
 
 /** A planner with `engines` engines, of which the first `limitedCount` report a rate limit. */
 function planner(engines: number, limitedCount: number) {
@@ -44,7 +44,7 @@
       service: ENGINE_SERVICE,
       workspace: 'wheat',
       priority: 1,
-      promptTokens: SHORT,
+      promptTokens: SHORT_PROMPT_TOKENS,
       answerTokens: 10,
       aimMs: 300,
       gapAimMs: 800,
@@ -82,7 +82,7 @@
     const { ask, clock } = planner(8, 4);
     ask('first');
     await clock.advance(2000);
-    const answer = ask('long', { promptTokens: LONG, aimMs: 4000 });
+    const answer = ask('long', { promptTokens: LONG_PROMPT_TOKENS, aimMs: 4000 });
     const used = answer?.kind === 'place' ? [writerOf(answer), ...answer.stream.readerIds] : [];
     expect(used.length).toBeGreaterThan(1);
     expect(used.filter((id) => ['i-0', 'i-1', 'i-2', 'i-3'].includes(id ?? ''))).toEqual([]);
@@ -92,7 +92,7 @@
     const { ask, clock } = planner(4, 4);
     ask('first');
     await clock.advance(2000);
-    const answer = ask('long', { promptTokens: LONG, aimMs: 4000 });
+    const answer = ask('long', { promptTokens: LONG_PROMPT_TOKENS, aimMs: 4000 });
     expect(answer?.kind === 'place' && answer.stream.readerIds).toEqual([]);
   });
 
--- a/packages/relay/src/planning/placement-client.test.ts
+++ b/packages/relay/src/planning/placement-client.test.ts
@@ -46,7 +46,7 @@
 /** A host that asks for plans, and the requests that its peers receive. */
 function askingHost(planners: readonly string[]) {
   const clock = new ManualClock();
-  const asked: string[] = [];
+  const askedPlanners: string[] = [];
   const withdrawn: string[] = [];
   const lines: string[] = [];
   const activeConfiguration = new ActiveConfiguration();
@@ -59,7 +59,7 @@
     peers: {
       plannersOf: () => planners,
       askPlan: (planner) => {
-        asked.push(planner);
+        askedPlanners.push(planner);
       },
       withdrawPlan: (planner) => {
         withdrawn.push(planner);
@@ -67,40 +67,40 @@
     },
     planner: new Planner({ clock, activeConfiguration, servers, fleet, random }),
   });
-  return { clock, asked, withdrawn, lines, placement };
+  return { clock, askedPlanners, withdrawn, lines, placement };
 }
 
 describe('PlacementClient', () => {
   it('uses the answer of the first planner', async () => {
-    const { asked, placement } = askingHost(['p1', 'p2']);
+    const { askedPlanners, placement } = askingHost(['p1', 'p2']);
     const placed = placement.place(REQUEST, () => false);
     placement.onPlanAnswer('other', { kind: 'refuse', rule: 'no_engine' });
     placement.onPlanAnswer('a', PLACE);
     expect(await placed).toMatchObject({ kind: 'place', planner: 'p1' });
-    expect(asked).toEqual(['p1']);
+    expect(askedPlanners).toEqual(['p1']);
   });
 
   it('asks the next planner if the first is silent, skips the silent one for a while, and finally plans itself', async () => {
-    const { clock, asked, placement } = askingHost(['p1', 'p2']);
+    const { clock, askedPlanners, placement } = askingHost(['p1', 'p2']);
     const placed = placement.place(REQUEST, () => false);
     await clock.advance(100);
     // This host has no configuration, so its own plan is a refusal.
     expect(await placed).toMatchObject({ kind: 'refuse', planner: 'self' });
-    expect(asked).toEqual(['p1', 'p2']);
+    expect(askedPlanners).toEqual(['p1', 'p2']);
     void placement.place(REQUEST, () => false);
     await clock.advance(1000);
     void placement.place({ ...REQUEST, attemptId: 'b' }, () => false);
-    expect(asked).toEqual(['p1', 'p2', 'p1']);
+    expect(askedPlanners).toEqual(['p1', 'p2', 'p1']);
   });
 
   it('repeats a waiting request, and withdraws it when the caller has disconnected', async () => {
-    const { clock, asked, withdrawn, placement } = askingHost(['p1']);
+    const { clock, askedPlanners, withdrawn, placement } = askingHost(['p1']);
     let isOver = false;
     const placed = placement.place(REQUEST, () => isOver);
     placement.onPlanAnswer('a', { kind: 'wait', rule: 'waits_for_engine' });
     const waitedMs: Milliseconds = 320;
     for (let passedMs = 0; passedMs < waitedMs; passedMs += 10) await clock.advance(10);
-    expect(asked).toEqual(['p1', 'p1']);
+    expect(askedPlanners).toEqual(['p1', 'p1']);
     placement.onPlanAnswer('a', { kind: 'wait', rule: 'waits_for_engine' });
     isOver = true;
     await clock.advance(60);
--- a/packages/relay/src/planning/placement-client.ts
+++ b/packages/relay/src/planning/placement-client.ts
@@ -61,16 +61,16 @@
   async place(request: PlanRequest, isOver: () => boolean): Promise<PlacementOutcome> {
     const answers = new AnswerQueue(this.parts.clock);
     this.#answerQueues.set(request.attemptId, answers);
-    const asked = new Set<string>();
+    const askedPlanners = new Set<string>();
     const wait = new WaitLog(this.parts.clock, this.parts.log, request);
     try {
       for (;;) {
         if (isOver()) {
-          this.#withdraw(asked, request.attemptId);
+          this.#withdraw(askedPlanners, request.attemptId);
           return { kind: 'over' };
         }
         const planner = this.#plannerOf(request.service);
-        asked.add(planner);
+        askedPlanners.add(planner);
         this.#ask(planner, request);
         const answer = await answers.next(ANSWER_TIMEOUT_MS);
         if (!answer) this.#onSilent(planner, request);
@@ -79,8 +79,8 @@
           answer?.kind === 'wait' ? await this.#nextDecision(answers, isOver) : answer;
         if (decision && decision.kind !== 'wait') {
           // Other planners that were asked may count a slot for this request, or keep it waiting.
-          asked.delete(planner);
-          this.#withdraw(asked, request.attemptId);
+          askedPlanners.delete(planner);
+          this.#withdraw(askedPlanners, request.attemptId);
           return { ...decision, planner };
         }
       }
--- a/packages/relay/src/planning/plan-engines.ts
+++ b/packages/relay/src/planning/plan-engines.ts
@@ -52,9 +52,9 @@
   { service, excludedIds }: PlanRequest,
 ): readonly BackendServer[] {
   const excluded = new Set(excludedIds);
-  const mayTake = ({ id }: BackendServer) => !excluded.has(id);
-  const allowed = servers.available(service).filter(mayTake);
-  return allowed.length > 0 ? allowed : servers.lastResort(service).filter(mayTake);
+  const isAllowed = ({ id }: BackendServer) => !excluded.has(id);
+  const allowed = servers.available(service).filter(isAllowed);
+  return allowed.length > 0 ? allowed : servers.lastResort(service).filter(isAllowed);
 }
 
 /** Time from its arrival after which the request's caller is expected to have disconnected. */
--- a/packages/relay/src/planning/waiting-order.test.ts
+++ b/packages/relay/src/planning/waiting-order.test.ts
@@ -20,7 +20,7 @@
 interface Sender {
   readonly workspace: string;
   readonly priority: number;
-  readonly everyMs: Milliseconds;
+  readonly intervalMs: Milliseconds;
 }
 
 /**
@@ -96,7 +96,7 @@
   };
   for (let nowMs = 0; nowMs < SIMULATED_MS; nowMs += STEP_MS) {
     for (const sender of senders) {
-      if (nowMs % sender.everyMs !== 0) continue;
+      if (nowMs % sender.intervalMs !== 0) continue;
       count(sent, sender.workspace);
       send(sender, nowMs);
     }
@@ -112,9 +112,9 @@
 describe('WaitingOrder', () => {
   const others = ['barley', 'oats', 'rye'];
   const usual = others.map((workspace, index) => {
-    return { workspace, priority: 1, everyMs: 2000 + index * 110 };
+    return { workspace, priority: 1, intervalMs: 2000 + index * 110 };
   });
-  const heavy = { workspace: 'wheat', priority: 1, everyMs: 230 };
+  const heavy = { workspace: 'wheat', priority: 1, intervalMs: 230 };
 
   it('makes the prompts of a workspace that sends too many wait behind those of the others', async () => {
     const senders = [heavy, ...usual];
@@ -126,7 +126,7 @@
   });
 
   it('plans higher priorities first, whether set by the workspace or by the route', async () => {
-    const urgent = { workspace: 'audit', priority: 0, everyMs: 2300 };
+    const urgent = { workspace: 'audit', priority: 0, intervalMs: 2300 };
     const shares = await simulateLoad([heavy, urgent], (clock) => new LeastServedFirst(clock));
     expect(shares.get('audit')).toBeGreaterThan(0.95);
     expect(shares.get('wheat')).toBeLessThan(0.8);
--- a/packages/relay/src/store/configuration-watch.ts
+++ b/packages/relay/src/store/configuration-watch.ts
@@ -82,7 +82,7 @@
     this.#isStopped = true;
   }
 
-  /** Ends the current pause, since a peer has a newer version. */
+  /** Ends the current pause if a read is due now, as when a peer has a newer version. */
   wake(): void {
     if (this.#directReads.reason) this.#sleeper.wake();
   }
--- a/packages/relay/src/store/server-incarnations.ts
+++ b/packages/relay/src/store/server-incarnations.ts
@@ -49,20 +49,20 @@
   }
 
   /**
-   * Returns the current incarnation after the server queried as `asked` reported the start time
-   * `startedAtMs`; undefined if that is no change. The query was sent after the start time of
-   * `asked` was known, so even an earlier start time belongs to a later incarnation.
+   * Returns the current incarnation after a server reported the start time `startedAtMs`; undefined
+   * if that is no change. `queried` is its entry when it was queried. The start time of `queried`
+   * was known by then, so even an earlier start time belongs to a later incarnation.
    */
   applyReportedStart(
     known: BackendServer,
-    asked: BackendServer,
+    queried: BackendServer,
     startedAtMs: Milliseconds,
   ): BackendServer | undefined {
-    if (asked.startedAtMs === undefined || asked.startedAtMs === startedAtMs) return undefined;
-    if (!isSameIncarnation(known, asked)) return undefined;
+    if (queried.startedAtMs === undefined || queried.startedAtMs === startedAtMs) return undefined;
+    if (!isSameIncarnation(known, queried)) return undefined;
     this.#earlierSince.delete(known.id);
     this.#endedStartTimes.get(known.id)?.delete(startedAtMs);
-    this.#markEnded(known.id, asked.startedAtMs);
+    this.#markEnded(known.id, queried.startedAtMs);
     return { ...known, startedAtMs };
   }
 
--- a/packages/relay/src/store/server-list.ts
+++ b/packages/relay/src/store/server-list.ts
@@ -173,10 +173,10 @@
     return this.#watchers.add(server, onEnded);
   }
 
-  /** Records that the server queried as `asked` reported that it started at `startedAtMs`. */
-  onStartTime(asked: BackendServer, startedAtMs: Milliseconds): void {
-    const known = this.#servers.get(asked.id);
-    const current = known && this.#incarnations.applyReportedStart(known, asked, startedAtMs);
+  /** Records the start time that a server reported; `queried` is its entry when it was queried. */
+  onStartTime(queried: BackendServer, startedAtMs: Milliseconds): void {
+    const known = this.#servers.get(queried.id);
+    const current = known && this.#incarnations.applyReportedStart(known, queried, startedAtMs);
     if (current) this.#put(current, 'its_answer');
   }
 
--- a/packages/relay/src/store/server-watch.test.ts
+++ b/packages/relay/src/store/server-watch.test.ts
@@ -29,7 +29,7 @@
 };
 
 /** A watch of a store whose rows the test sets, and the lines that it logs. */
-function watchOf() {
+function createWatch() {
   const clock = new ManualClock();
   const lines: string[] = [];
   const log = createLog({ host: 'h' }, 'info', (line) => {
@@ -76,7 +76,7 @@
 
 describe('ServerWatch', () => {
   it('uses the other entries beside an unusable one, and the entry again once it is valid', async () => {
-    const { lines, read, ids } = watchOf();
+    const { lines, read, ids } = createWatch();
     await read({ a: GOOD, b: BAD, c: GOOD });
     expect(ids()).toEqual(['a', 'c']);
     await read({ a: GOOD, b: BAD, c: GOOD });
@@ -90,7 +90,7 @@
   });
 
   it('logs one line for the first list, and one for each later change', async () => {
-    const { lines, read } = watchOf();
+    const { lines, read } = createWatch();
     await read(
       Object.fromEntries(Array.from({ length: 60 }, (_, index) => [`i-${String(index)}`, GOOD])),
     );
--- a/packages/relay/src/store/server-watch.ts
+++ b/packages/relay/src/store/server-watch.ts
@@ -26,8 +26,8 @@
  */
 const DIRECT_READ_AFTER_SHARE = 0.75;
 /**
- * Backoff after failed reads. The configuration watch calls more often and notices when the store
- * is back.
+ * Backoff after failed reads. The configuration watch calls more often, and wakes this watch when
+ * the store is back.
  */
 const INITIAL_BACKOFF_MS: Milliseconds = 300;
 const MAX_BACKOFF_MS: Milliseconds = 2400;
@@ -85,7 +85,7 @@
     this.#isStopped = true;
   }
 
-  /** Ends the current pause, since a peer has another list. */
+  /** Ends the current pause if a read is due now, as when a peer has another list. */
   wake(): void {
     if (this.#reason) this.#sleeper.wake();
   }
@@ -117,7 +117,7 @@
 
   get #reason(): DirectReadReason | undefined {
     const { syncState, list } = this.parts;
-    // The configuration watch retries and notices when the store is back.
+    // The configuration watch retries, and wakes this watch when the store is back.
     if (syncState.isStoreLost && list.isKnown) return undefined;
     return this.#directReads.reason;
   }
@@ -128,7 +128,7 @@
 
   #readRow({ key, value }: StoredRow): readonly BackendServer[] {
     const server = value && this.parts.rows.parseServer(key, value);
-    if (server?.isErr) this.#unusable.note(key, server.error);
+    if (server?.isErr) this.#unusable.record(key, server.error);
     return server?.isOk ? [server.value] : [];
   }
 }
--- a/packages/relay/src/store/unusable-entries.ts
+++ b/packages/relay/src/store/unusable-entries.ts
@@ -8,7 +8,7 @@
   constructor(readonly log: Log) {}
 
   /** Records an unusable entry. */
-  note(id: string, why: string): void {
+  record(id: string, why: string): void {
     this.#found.set(id, why);
     if (this.#logged.get(id) !== why) this.log.warn('server_entry_unusable', { server: id, why });
   }
