--- a/packages/relay/src/compose.ts
+++ b/packages/relay/src/compose.ts
@@ -63,14 +63,12 @@
   readonly pauseDetector: PauseDetector;
 }
 
-/**
- * Requests to a leaving server stop this much before the bound on them, to allow for network delay.
- */
+/** Requests to a leaving server stop this long before the bound, to allow for network delay. */
 const LAST_RESORT_MARGIN_MS: Milliseconds = 200;
 const random = Math.random;
 
 /**
- * A key is trusted for this much less than allowed, to allow for the time between check and use.
+ * Keys are trusted for this much less than configured, to allow for the time between check and use.
  */
 const KEY_MARGIN_MS: Milliseconds = 200;
 const MS_PER_SECOND = 1000;
--- a/packages/relay/src/planning/limited-servers.test.ts
+++ b/packages/relay/src/planning/limited-servers.test.ts
@@ -68,7 +68,7 @@
 }
 
 describe('Planner with servers that report rate limits', () => {
-  it('uses the next engine in order when a permit is used, and returns with the next permit', async () => {
+  it('uses the next engine in order once a permit is used, and the first engine again with its next permit', async () => {
     const { ask, clock } = planner(3, 1);
     ask('first');
     await clock.advance(500);
--- a/packages/relay/src/store/server-list.test.ts
+++ b/packages/relay/src/store/server-list.test.ts
@@ -124,7 +124,7 @@
     expect(idsOf(list)).toEqual(['b']);
   });
 
-  it('agrees with a simple oracle over outages and expired entries', () => {
+  it('agrees with a simple reference model over outages and expired entries', () => {
     const step = fc.oneof(
       fc.record({ kind: fc.constant('read' as const), ids: fc.subarray(['a', 'b', 'c']) }),
       fc.constant({ kind: 'away' as const, ids: [] }),
