--- a/packages/policy/src/placement/predicted-start.ts
+++ b/packages/policy/src/placement/predicted-start.ts
@@ -100,13 +100,13 @@
       if (freeTokens < neededTokens) {
         passedOver.push({
           candidate: engine.id,
-          why: `insufficient memory: ${String(Math.floor(freeTokens))} tokens free`,
+          why: `memory: ${String(Math.floor(freeTokens))} free`,
         });
         continue;
       }
       const scored = this.#score(job, engine);
       if (this.settings.useLateBinding && scored.aheadMs > this.settings.bindWithinMs) {
-        passedOver.push({ candidate: engine.id, why: `busy for ${scored.aheadMs.toFixed(0)} ms` });
+        passedOver.push({ candidate: engine.id, why: `busy ${scored.aheadMs.toFixed(0)} ms` });
         continue;
       }
       eligible.push(scored);
@@ -145,14 +145,14 @@
       const first = passedOver[0];
       return {
         kind: 'wait',
-        why: first ? `${first.candidate}: ${first.why}` : 'no engine in the lane',
+        why: first ? `${first.candidate} ${first.why}` : 'no engine',
       };
     }
     const others = sampled
       .filter((scored) => scored !== best)
       .map(({ engine, startMs }) => ({
         candidate: engine.id,
-        why: `predicted start in ${startMs.toFixed(0)} ms`,
+        why: `start ${startMs.toFixed(0)} ms`,
       }));
     return {
       kind: 'dispatch',
