--- a/packages/admin/src/access/operator.ts
+++ b/packages/admin/src/access/operator.ts
@@ -1,7 +1,7 @@
 import type { IncomingMessage } from 'node:http';
 import { fault } from '@poppypond/core';
 import type { Fault } from '@poppypond/core';
-import { isSelected, objectId } from '@poppypond/objects';
+import { matchesSelector, objectId } from '@poppypond/objects';
 import type { ConfigObject, Configuration, Selector } from '@poppypond/objects';
 import { bearerKey, hashKey } from '@poppypond/web';
 import { Result } from 'true-myth';
@@ -57,7 +57,7 @@
     return fault('forbidden', 'only an admin changes keys and operators', { path });
   }
   const isOutside = [before, after].some(
-    (object) => object !== undefined && !isSelected(operator.scope, object.labels),
+    (object) => object !== undefined && !matchesSelector(operator.scope, object.labels),
   );
   return isOutside ? fault('forbidden', 'outside the scope of this operator', { path }) : undefined;
 }
--- a/packages/admin/src/audit/app.ts
+++ b/packages/admin/src/audit/app.ts
@@ -1,5 +1,5 @@
 import { fault } from '@poppypond/core';
-import { isSelected, parseSelector } from '@poppypond/objects';
+import { matchesSelector, parseSelector } from '@poppypond/objects';
 import { AUDIT_PREFIX, auditKey, auditRowSchema, scanAll } from '@poppypond/state';
 import type { AuditRow } from '@poppypond/state';
 import { sendFault, sendJson } from '@poppypond/web';
@@ -20,7 +20,7 @@
     row.wallMs >= Number(query.get('from') ?? 0) &&
     row.wallMs <= Number(query.get('to') ?? Number.POSITIVE_INFINITY);
   const isLabelled = row.changes.some((change) =>
-    isSelected(selector, (change.after ?? change.before)?.labels ?? {}),
+    matchesSelector(selector, (change.after ?? change.before)?.labels ?? {}),
   );
   return isObject && isOperator && isInTime && isLabelled;
 }
--- a/packages/admin/src/commands.ts
+++ b/packages/admin/src/commands.ts
@@ -1,6 +1,6 @@
 import { SystemClock } from '@poppypond/core';
 import { defineCommand } from '@poppypond/settings';
-import { createLog, seeSuspensions } from '@poppypond/telemetry';
+import { createLog, enableSuspensionDetection } from '@poppypond/telemetry';
 import { startAdmin } from './admin.js';
 import { adminShape } from './settings.js';
 
@@ -10,7 +10,7 @@
   shape: adminShape,
   main: async (settings) => {
     const log = createLog({ program: 'admin', host: settings.host }, settings.logLevel);
-    void seeSuspensions(log);
+    void enableSuspensionDetection(log);
     const server = await startAdmin(settings, new SystemClock(), log);
     process.stdout.write(`listening url=${server.url}\n`);
     return new Promise((resolve) => {
--- a/packages/admin/src/objects/app.ts
+++ b/packages/admin/src/objects/app.ts
@@ -3,7 +3,7 @@
 import {
   findWarnings,
   isObjectKind,
-  isSelected,
+  matchesSelector,
   objectId,
   parseObjects,
   parseSelector,
@@ -55,7 +55,7 @@
   const objects = current
     .all()
     .filter(({ object }) => kind === null || object.kind === kind)
-    .filter(({ object }) => isSelected(selector, object.labels));
+    .filter(({ object }) => matchesSelector(selector, object.labels));
   sendJson(route.response, 200, { revision: current.revision, objects: objects.map(storedJson) });
 }
 
--- a/packages/backend/src/attempt.ts
+++ b/packages/backend/src/attempt.ts
@@ -53,7 +53,7 @@
       readonly kind: 'refused';
       readonly reason: string;
       /** For how long the engine wants nothing more from this host; undefined where it doesn't ask for rest. */
-      readonly restMs?: Milliseconds | undefined;
+      readonly backoffMs?: Milliseconds | undefined;
     }
   | { readonly kind: 'not_sent'; readonly detail: string }
   | { readonly kind: 'cut'; readonly detail: string }
@@ -155,7 +155,7 @@
   const refused = refusedSchema.safeParse(parseJson(await readText(response)));
   const { headers, statusCode } = response;
   const restMs = statusCode === UNAVAILABLE ? readRetryAfter(headers, Date.now()) : undefined;
-  if (refused.success) return { kind: 'refused', reason: refused.data.refused, restMs };
+  if (refused.success) return { kind: 'refused', reason: refused.data.refused, backoffMs: restMs };
   return { kind: 'cut', detail: `status ${String(response.statusCode)}` };
 }
 
--- a/packages/backend/src/engine-memory.ts
+++ b/packages/backend/src/engine-memory.ts
@@ -23,7 +23,7 @@
 const listSchema = z.object({ reservations: z.array(heldSchema) });
 
 /** Memory that an engine holds for a request. */
-export type HeldReservation = Readonly<z.infer<typeof heldSchema>>;
+export type MemoryReservation = Readonly<z.infer<typeof heldSchema>>;
 
 /** What is to be reserved. */
 export interface ReserveCall {
@@ -76,7 +76,7 @@
 }
 
 /** Renews reservations; those that the engine no longer holds for this owner. */
-export function renewMemory(
+export function renewReservations(
   engineUrl: string,
   owner: string,
   reservations: readonly string[],
@@ -89,7 +89,7 @@
 }
 
 /** Releases reservations; the tokens that became free. */
-export function releaseMemory(
+export function releaseReservations(
   engineUrl: string,
   reservations: readonly string[],
 ): Promise<Result<number, string>> {
@@ -99,9 +99,9 @@
 }
 
 /** Everything that an engine holds. */
-export async function listMemory(
+export async function listReservations(
   engineUrl: string,
-): Promise<Result<readonly HeldReservation[], string>> {
+): Promise<Result<readonly MemoryReservation[], string>> {
   const url = `${engineUrl}/reservations`;
   const reply = await callHttp({ method: 'GET', url, timeoutMs: CALL_TIMEOUT_MS });
   if (reply.isErr) return Result.err(reply.error.reason);
--- a/packages/backend/src/engine-orders.ts
+++ b/packages/backend/src/engine-orders.ts
@@ -2,7 +2,7 @@
 import { callHttp } from '@poppypond/web';
 
 /** What an engine is told to do. */
-export type EngineOrder =
+export type EngineCommand =
   | {
       readonly kind: 'load-model';
       readonly model: string;
@@ -13,23 +13,26 @@
   | { readonly kind: 'set-role'; readonly role: 'any' | 'long' | 'short' };
 
 /** An order under a lease. */
-export interface FencedOrder {
+export interface FencedCommand {
   readonly scope: string;
   /** The lease's fencing token. */
   readonly fence: number;
   /** After this the order is void. */
   readonly expiresInMs: Milliseconds;
-  readonly order: EngineOrder;
+  readonly order: EngineCommand;
 }
 
 /** `older_fence`: another holder has ordered since. `unknown`: it may have been followed. */
-export type OrderResult = 'followed' | 'failed' | 'older_fence' | 'not_sent' | 'unknown';
+export type CommandResult = 'followed' | 'failed' | 'older_fence' | 'not_sent' | 'unknown';
 
 const OK = 200;
 const CONFLICT = 409;
 
 /** Sends an order to an engine. */
-export async function sendOrder(engineUrl: string, order: FencedOrder): Promise<OrderResult> {
+export async function sendEngineCommand(
+  engineUrl: string,
+  order: FencedCommand,
+): Promise<CommandResult> {
   const reply = await callHttp({
     method: 'POST',
     url: `${engineUrl}/orders`,
--- a/packages/backend/src/line-feed.ts
+++ b/packages/backend/src/line-feed.ts
@@ -15,7 +15,7 @@
 }
 
 /** A stream of JSON lines that is opened again, with back-off, whenever it ends. */
-export class LineFeed {
+export class JsonLinesFeed {
   #abort: AbortController | undefined;
   #isStopped = false;
   #backOffMs: Milliseconds = FIRST_BACK_OFF_MS;
--- a/packages/backend/src/service-call.test.ts
+++ b/packages/backend/src/service-call.test.ts
@@ -37,14 +37,14 @@
 describe('callService', () => {
   it('tells the rest that a service asks for with a 503, whether it has run the call or not', async () => {
     const notRun = { 'x-not-run': '1', 'retry-after': '2.5' };
-    expect(await callOf(503, notRun)).toMatchObject({ kind: 'not_run', restMs: 2500 });
+    expect(await callOf(503, notRun)).toMatchObject({ kind: 'not_run', backoffMs: 2500 });
     await server?.close();
     const answered = await callOf(503, { 'retry-after': '1' });
-    expect(answered).toMatchObject({ kind: 'answered', restMs: 1000 });
+    expect(answered).toMatchObject({ kind: 'answered', backoffMs: 1000 });
   });
 
   it('takes no rest from other answers', async () => {
     const answered = await callOf(200, { 'retry-after': '1' });
-    expect(answered).toMatchObject({ kind: 'answered', restMs: undefined });
+    expect(answered).toMatchObject({ kind: 'answered', backoffMs: undefined });
   });
 });
--- a/packages/backend/src/service-call.ts
+++ b/packages/backend/src/service-call.ts
@@ -15,9 +15,9 @@
 }
 
 /** What a service may say of itself with its answer. */
-interface ServiceWord {
+interface ServiceNotice {
   /** For how long it wants nothing more from this host; undefined where it doesn't ask for rest. */
-  readonly restMs?: Milliseconds | undefined;
+  readonly backoffMs?: Milliseconds | undefined;
 }
 
 /** How a call to a plain service ended; the three outcomes are never blurred. */
@@ -27,8 +27,8 @@
       readonly status: number;
       readonly contentType: string;
       readonly body: string;
-    } & ServiceWord)
-  | ({ readonly kind: 'not_run'; readonly detail: string } & ServiceWord)
+    } & ServiceNotice)
+  | ({ readonly kind: 'not_run'; readonly detail: string } & ServiceNotice)
   | { readonly kind: 'unknown'; readonly detail: string };
 
 /** By this header a service confirms that it refused a call without running it. */
@@ -44,7 +44,7 @@
     body: call.body,
     timeoutMs: call.timeoutMs,
     signal: call.signal,
-    isFresh: !call.mayRepeat,
+    usesNewConnection: !call.mayRepeat,
   });
   if (reply.isErr) {
     const { mayHaveArrived, detail } = reply.error;
@@ -53,8 +53,8 @@
   const { status, headers, body } = reply.value;
   const restMs = status === UNAVAILABLE ? readRetryAfter(headers, Date.now()) : undefined;
   if (headers[NOT_RUN_HEADER] !== undefined) {
-    return { kind: 'not_run', detail: `refused with status ${String(status)}`, restMs };
+    return { kind: 'not_run', detail: `refused with status ${String(status)}`, backoffMs: restMs };
   }
   const contentType = headers['content-type'] ?? 'application/octet-stream';
-  return { kind: 'answered', status, contentType, body, restMs };
+  return { kind: 'answered', status, contentType, body, backoffMs: restMs };
 }
--- a/packages/controller/src/commands.ts
+++ b/packages/controller/src/commands.ts
@@ -1,6 +1,6 @@
 import { SystemClock } from '@poppypond/core';
 import { defineCommand } from '@poppypond/settings';
-import { createLog, createMetrics, seeSuspensions } from '@poppypond/telemetry';
+import { createLog, createMetrics, enableSuspensionDetection } from '@poppypond/telemetry';
 import { startController } from './controller.js';
 import { controllerShape } from './settings.js';
 
@@ -10,7 +10,7 @@
   shape: controllerShape,
   main: async (settings) => {
     const log = createLog({ program: 'controller', host: settings.host }, settings.logLevel);
-    void seeSuspensions(log);
+    void enableSuspensionDetection(log);
     const metrics = createMetrics(settings.statsdAddress, { host: settings.host });
     const controller = await startController(settings, new SystemClock(), log, metrics);
     process.stdout.write(`listening url=${controller.url}\n`);
--- a/packages/controller/src/models/plan-orders.ts
+++ b/packages/controller/src/models/plan-orders.ts
@@ -1,4 +1,4 @@
-import type { EngineOrder } from '@poppypond/backend';
+import type { EngineCommand } from '@poppypond/backend';
 import type { Milliseconds } from '@poppypond/core';
 
 /** An engine as the plan sees it. */
@@ -26,7 +26,7 @@
 /** An order for one engine, and why. */
 export interface PlannedOrder {
   readonly engine: string;
-  readonly order: EngineOrder;
+  readonly order: EngineCommand;
   readonly why: string;
 }
 
@@ -71,7 +71,7 @@
   const surplus = serving.find((engine) => !holders.has(engine.name));
   if (!surplus) return undefined;
   const version = surplus.models[model.name] ?? model.version;
-  const order: EngineOrder = { kind: 'unload-model', model: model.name, version };
+  const order: EngineCommand = { kind: 'unload-model', model: model.name, version };
   return { engine: surplus.name, order, why: 'demand is low' };
 }
 
--- a/packages/controller/src/models/pool-controller.ts
+++ b/packages/controller/src/models/pool-controller.ts
@@ -1,8 +1,8 @@
-import { readEngineLoad, sendOrder } from '@poppypond/backend';
+import { readEngineLoad, sendEngineCommand } from '@poppypond/backend';
 import { delay } from '@poppypond/core';
 import type { Milliseconds } from '@poppypond/core';
 import { rendezvousOrder } from '@poppypond/hashing';
-import { isSelected } from '@poppypond/objects';
+import { matchesSelector } from '@poppypond/objects';
 import type { Configuration, ObjectOf, Versioned } from '@poppypond/objects';
 import { Lease } from '@poppypond/state';
 import type { HeldLease } from '@poppypond/state';
@@ -76,7 +76,7 @@
     if (role) await this.#send(view, role);
     const models = configuration
       .list('model')
-      .filter((model) => isSelected(model.object.spec.pools, pool.object.labels));
+      .filter((model) => matchesSelector(model.object.spec.pools, pool.object.labels));
     const isContended = models.length > pool.object.spec.modelsPerEngine;
     for (const model of models) await this.#lookAtModel(view, model, isContended);
   }
@@ -203,7 +203,7 @@
     const expiresInMs = Math.min(this.context.settings.orderMs, leftMs);
     const scope = `pool/${this.name}`;
     const { order } = planned;
-    const result = await sendOrder(url, { scope, fence: held.fence, expiresInMs, order });
+    const result = await sendEngineCommand(url, { scope, fence: held.fence, expiresInMs, order });
     this.#record(view, planned, held, result);
     return result;
   }
--- a/packages/controller/src/sweep/judge-reservation.test.ts
+++ b/packages/controller/src/sweep/judge-reservation.test.ts
@@ -1,8 +1,8 @@
-import type { HeldReservation } from '@poppypond/backend';
+import type { MemoryReservation } from '@poppypond/backend';
 import { describe, expect, it } from 'vitest';
-import { isUnchanged, judgeReservation } from './judge-reservation.js';
+import { isUnchanged, findReleaseReason } from './judge-reservation.js';
 
-const held: HeldReservation = {
+const held: MemoryReservation = {
   id: 'kv-1',
   owner: 'host-1/aaaa',
   requestId: 'r',
@@ -17,21 +17,21 @@
 
 describe('judgeReservation', () => {
   it('never releases what a paused or claiming owner may need', () => {
-    expect(judgeReservation(held, undefined)).toBeUndefined();
-    expect(judgeReservation(held, { owner, isClaimed: true })).toBeUndefined();
+    expect(findReleaseReason(held, undefined)).toBeUndefined();
+    expect(findReleaseReason(held, { owner, isClaimed: true })).toBeUndefined();
     expect(
-      judgeReservation({ ...held, isRunning: true, timeRemainingMs: -1 }, undefined),
+      findReleaseReason({ ...held, isRunning: true, timeRemainingMs: -1 }, undefined),
     ).toBeUndefined();
-    expect(judgeReservation({ ...held, ttlMs: 10 }, { owner, isClaimed: false })).toBeUndefined();
+    expect(findReleaseReason({ ...held, ttlMs: 10 }, { owner, isClaimed: false })).toBeUndefined();
     const other = { host: 'host-2', incarnation: 'bbbb' };
-    expect(judgeReservation(held, { owner: other, isClaimed: false })).toBeUndefined();
+    expect(findReleaseReason(held, { owner: other, isClaimed: false })).toBeUndefined();
   });
 
   it('releases what its owner disclaims, what a replaced run held, and what is out of time', () => {
-    expect(judgeReservation(held, { owner, isClaimed: false })).toBe('owner_disclaims');
+    expect(findReleaseReason(held, { owner, isClaimed: false })).toBe('owner_disclaims');
     const next = { host: 'host-1', incarnation: 'bbbb' };
-    expect(judgeReservation(held, { owner: next, isClaimed: false })).toBe('owner_replaced');
-    expect(judgeReservation({ ...held, timeRemainingMs: 0 }, undefined)).toBe('time_limit_passed');
+    expect(findReleaseReason(held, { owner: next, isClaimed: false })).toBe('owner_replaced');
+    expect(findReleaseReason({ ...held, timeRemainingMs: 0 }, undefined)).toBe('time_limit_passed');
   });
 
   it('needs two looks without a renewal in between', () => {
--- a/packages/controller/src/sweep/judge-reservation.ts
+++ b/packages/controller/src/sweep/judge-reservation.ts
@@ -1,5 +1,5 @@
-import type { HeldReservation } from '@poppypond/backend';
-import { ownerText, parseOwner } from '@poppypond/core';
+import type { MemoryReservation } from '@poppypond/backend';
+import { formatOwner, parseOwner } from '@poppypond/core';
 import type { Owner } from '@poppypond/core';
 
 /** What a host said of a reservation: who it is now, and whether it still uses it. */
@@ -16,19 +16,22 @@
  * needs it: its owner says so, its host runs another incarnation, or its time limit has passed.
  * Silence proves nothing: the owner may be paused and wake up.
  */
-export function judgeReservation(
-  held: HeldReservation,
+export function findReleaseReason(
+  held: MemoryReservation,
   answer: ClaimAnswer | undefined,
 ): SweepReason | undefined {
   if (held.isRunning || held.ttlMs > 0) return undefined;
   if (held.timeRemainingMs <= 0) return 'time_limit_passed';
   const owner = parseOwner(held.owner);
   if (!owner || answer?.owner.host !== owner.host) return undefined;
-  if (ownerText(answer.owner) !== held.owner) return 'owner_replaced';
+  if (formatOwner(answer.owner) !== held.owner) return 'owner_replaced';
   return answer.isClaimed ? undefined : 'owner_disclaims';
 }
 
 /** Whether a reservation is as it was at the look before: the second look that a release needs. */
-export function isUnchanged(before: HeldReservation | undefined, now: HeldReservation): boolean {
+export function isUnchanged(
+  before: MemoryReservation | undefined,
+  now: MemoryReservation,
+): boolean {
   return before !== undefined && before.owner === now.owner && before.renewals === now.renewals;
 }
--- a/packages/controller/src/sweep/memory-sweep.ts
+++ b/packages/controller/src/sweep/memory-sweep.ts
@@ -1,11 +1,11 @@
-import { listMemory, releaseMemory } from '@poppypond/backend';
-import type { HeldReservation } from '@poppypond/backend';
+import { listReservations, releaseReservations } from '@poppypond/backend';
+import type { MemoryReservation } from '@poppypond/backend';
 import { parseJson, parseOwner } from '@poppypond/core';
 import type { Versioned } from '@poppypond/objects';
 import { callHttp } from '@poppypond/web';
 import { z } from 'zod';
 import type { ControllerContext } from '../context.js';
-import { isUnchanged, judgeReservation } from './judge-reservation.js';
+import { isUnchanged, findReleaseReason } from './judge-reservation.js';
 import type { ClaimAnswer } from './judge-reservation.js';
 
 const ASK_TIMEOUT_MS = 2000;
@@ -18,14 +18,14 @@
 
 /** Releases engine memory that no live request needs, in two looks. */
 export class MemorySweep {
-  #before = new Map<string, HeldReservation>();
+  #before = new Map<string, MemoryReservation>();
 
   constructor(readonly context: ControllerContext) {}
 
   /** One look at every engine. */
   async look(engines: readonly Versioned<'backend-server'>[]): Promise<void> {
     const hosts = await this.#findHosts();
-    const seen = new Map<string, HeldReservation>();
+    const seen = new Map<string, MemoryReservation>();
     for (const engine of engines) await this.#lookAt(engine, hosts, seen);
     this.#before = seen;
   }
@@ -33,10 +33,10 @@
   async #lookAt(
     engine: Versioned<'backend-server'>,
     hosts: ReadonlyMap<string, string>,
-    seen: Map<string, HeldReservation>,
+    seen: Map<string, MemoryReservation>,
   ): Promise<void> {
     const { name, spec } = engine.object;
-    const listed = await listMemory(spec.url);
+    const listed = await listReservations(spec.url);
     if (listed.isErr) return;
     for (const held of listed.value) {
       const key = `${name}/${held.id}`;
@@ -44,19 +44,19 @@
       seen.set(key, held);
       if (!isUnchanged(this.#before.get(key), held)) continue;
       const answer = await this.#askOwner(hosts, spec.url, held);
-      const reason = judgeReservation(held, answer);
+      const reason = findReleaseReason(held, answer);
       if (reason) await this.#release(engine, held, reason);
     }
   }
 
   async #release(
     engine: Versioned<'backend-server'>,
-    held: HeldReservation,
+    held: MemoryReservation,
     reason: string,
   ): Promise<void> {
     const { context } = this;
     const { name, spec, labels } = engine.object;
-    const released = await releaseMemory(spec.url, [held.id]);
+    const released = await releaseReservations(spec.url, [held.id]);
     if (released.isErr) return;
     context.metrics.count('engine_memory.swept_tokens', released.value);
     context.log.info('memory_swept', { engine: name, tokens: released.value, reason });
@@ -96,7 +96,7 @@
   async #askOwner(
     hosts: ReadonlyMap<string, string>,
     engineUrl: string,
-    held: HeldReservation,
+    held: MemoryReservation,
   ): Promise<ClaimAnswer | undefined> {
     const host = parseOwner(held.owner)?.host;
     const url = host === undefined ? undefined : hosts.get(host);
--- a/packages/core/src/clock.ts
+++ b/packages/core/src/clock.ts
@@ -96,7 +96,7 @@
   }
 
   every(periodMs: Milliseconds, callback: () => void): CancelTimer {
-    return everyByAfter(this, periodMs, callback);
+    return repeatUsingAfter(this, periodMs, callback);
   }
 
   #arm(delayMs: Milliseconds, callback: () => void): NodeJS.Timeout {
@@ -147,7 +147,7 @@
 }
 
 /** `every` by a clock's own `after`, for clocks that have nothing better. */
-export function everyByAfter(
+export function repeatUsingAfter(
   clock: Pick<Clock, 'after'>,
   periodMs: Milliseconds,
   callback: () => void,
--- a/packages/core/src/identifiers.ts
+++ b/packages/core/src/identifiers.ts
@@ -22,7 +22,7 @@
 }
 
 /** `host/incarnation`, as engines and table rows hold it. */
-export function ownerText(owner: Owner): string {
+export function formatOwner(owner: Owner): string {
   return `${owner.host}/${owner.incarnation}`;
 }
 
--- a/packages/core/src/result-codes.test.ts
+++ b/packages/core/src/result-codes.test.ts
@@ -1,6 +1,6 @@
 import { readFileSync } from 'node:fs';
 import { describe, expect, it } from 'vitest';
-import { newOwner, newRequestId, ownerText, parseOwner, parseRequestId } from './identifiers.js';
+import { newOwner, newRequestId, formatOwner, parseOwner, parseRequestId } from './identifiers.js';
 import { RESULT_CODES } from './result-codes.js';
 
 const OUTCOME_RANGES = [
@@ -43,7 +43,7 @@
 describe('identifiers', () => {
   it('can be read back', () => {
     const owner = newOwner('host-1');
-    expect(parseOwner(ownerText(owner))).toEqual(owner);
+    expect(parseOwner(formatOwner(owner))).toEqual(owner);
     expect(parseRequestId(newRequestId('host-1', 1_796_213_661_452))).toEqual({
       host: 'host-1',
       wallMs: 1_796_213_661_452,
--- a/packages/demo/src/commands.ts
+++ b/packages/demo/src/commands.ts
@@ -1,5 +1,5 @@
 import { SystemClock } from '@poppypond/core';
-import { defineCommand, portSetting, yesNoSetting } from '@poppypond/settings';
+import { defineCommand, portSetting, booleanSetting } from '@poppypond/settings';
 import { checkDemo } from './check.js';
 import { startDemo } from './demo.js';
 import { showFigures } from './figures.js';
@@ -10,7 +10,7 @@
   shape: {
     port: portSetting.default(8080).describe('port for callers; 0 takes a free one'),
     adminPort: portSetting.default(8090).describe('port for operators; 0 takes a free one'),
-    check: yesNoSetting
+    check: booleanSetting
       .default(false)
       .describe('send one short and one long prompt, verify both answers, exit'),
   },
--- a/packages/emulator/src/commands.ts
+++ b/packages/emulator/src/commands.ts
@@ -1,5 +1,5 @@
 import { seededRandom } from '@poppypond/load';
-import { countSetting, defineCommand, yesNoSetting } from '@poppypond/settings';
+import { countSetting, defineCommand, booleanSetting } from '@poppypond/settings';
 import { drawDay, drawDayOfTurns, drawDeployment, drawWords } from './draw-deployment.js';
 import type { DayResult } from './outcome.js';
 import { summarizeDay } from './outcome.js';
@@ -19,10 +19,12 @@
   shape: {
     seed: countSetting.default(1).describe('seed of the first day'),
     days: countSetting.default(20).describe('days to play, each with the next seed'),
-    large: yesNoSetting.default(false).describe('60 engines in place of 18'),
-    turns: yesNoSetting.default(false).describe('short and long prompts come by turns'),
-    words: yesNoSetting.default(false).describe('some engines want rest, some say that they leave'),
-    calm: yesNoSetting.default(false).describe('days without bursts and kills'),
+    large: booleanSetting.default(false).describe('60 engines in place of 18'),
+    turns: booleanSetting.default(false).describe('short and long prompts come by turns'),
+    words: booleanSetting
+      .default(false)
+      .describe('some engines want rest, some say that they leave'),
+    calm: booleanSetting.default(false).describe('days without bursts and kills'),
   },
   main: ({ seed, days, large, turns, words, calm }) => {
     for (let next = seed; next < seed + days; next += 1) {
--- a/packages/emulator/src/virtual-clock.ts
+++ b/packages/emulator/src/virtual-clock.ts
@@ -1,4 +1,4 @@
-import { everyByAfter } from '@poppypond/core';
+import { repeatUsingAfter } from '@poppypond/core';
 import type { CancelTimer, Clock, Milliseconds } from '@poppypond/core';
 
 interface Timer {
@@ -39,7 +39,7 @@
   }
 
   every(periodMs: Milliseconds, callback: () => void): CancelTimer {
-    return everyByAfter(this, periodMs, callback);
+    return repeatUsingAfter(this, periodMs, callback);
   }
 
   /** Fires all timers that are due until `untilMs`, in order, and stops there. */
--- a/packages/gateway/src/commands.ts
+++ b/packages/gateway/src/commands.ts
@@ -1,6 +1,6 @@
 import { SystemClock } from '@poppypond/core';
 import { defineCommand } from '@poppypond/settings';
-import { createLog, createMetrics, seeSuspensions } from '@poppypond/telemetry';
+import { createLog, createMetrics, enableSuspensionDetection } from '@poppypond/telemetry';
 import { startGateway } from './gateway.js';
 import { gatewayShape } from './settings.js';
 
@@ -11,7 +11,7 @@
   main: async (settings) => {
     const { host, zone } = settings;
     const log = createLog({ program: 'gateway', host }, settings.logLevel);
-    void seeSuspensions(log);
+    void enableSuspensionDetection(log);
     const metrics = createMetrics(settings.statsdAddress, { host, zone });
     const gateway = await startGateway(settings, new SystemClock(), log, metrics);
     process.stdout.write(`listening url=${gateway.url} peers=${gateway.peerUrl}\n`);
--- a/packages/gateway/src/completions/admit.ts
+++ b/packages/gateway/src/completions/admit.ts
@@ -1,6 +1,6 @@
 import { fault } from '@poppypond/core';
 import type { Fault, Labels } from '@poppypond/core';
-import { chainBlocks, chainText } from '@poppypond/hashing';
+import { hashBlocks, formatChainHash } from '@poppypond/hashing';
 import { resolveTraffic } from '@poppypond/objects';
 import type { Configuration, Resolution } from '@poppypond/objects';
 import { checkAdmission, prefillTokensAtOrAbove } from '@poppypond/policy';
@@ -79,7 +79,7 @@
   const wrong = checkRule(resolution, request, promptTokens);
   if (wrong) return Result.err(wrong);
   const pools = resolution.pools.map((pool) => pool.object.name);
-  const prefix = chainBlocks(body.prompt, MAX_PREFIX_BLOCKS).map(chainText);
+  const prefix = hashBlocks(body.prompt, MAX_PREFIX_BLOCKS).map(formatChainHash);
   const open = context.engines.open(pools, model);
   const cached = open.map(({ watched }) => context.cachedTokens(watched.name, prefix));
   const workTokens = promptTokens - Math.max(0, ...cached);
--- a/packages/gateway/src/completions/completion-run.test.ts
+++ b/packages/gateway/src/completions/completion-run.test.ts
@@ -1,7 +1,7 @@
 import type { AttemptCall, AttemptEnd } from '@poppypond/backend';
 import { fault, outcomeOf } from '@poppypond/core';
 import type { Fault } from '@poppypond/core';
-import { FakeObjects, flushPromises, ManualClock } from '@poppypond/mocks';
+import { FakeObjectStore, flushPromises, ManualClock } from '@poppypond/mocks';
 import { Configuration, parseObjects, resolveTraffic } from '@poppypond/objects';
 import { EngineLoad, RetryBudget, ServerHealth, TokenCorrection } from '@poppypond/policy';
 import { DecisionLog } from '@poppypond/state';
@@ -182,7 +182,7 @@
     cachedTokens: () => 0,
     settle: () => undefined,
   };
-  const decisions = new DecisionLog('h', new FakeObjects(), clock, 100);
+  const decisions = new DecisionLog('h', new FakeObjectStore(), clock, 100);
   const asked = request(clock.monotonicMs());
   const recorder = new DecisionRecorder(decisions, clock, asked.id, 1, {});
   const run = new CompletionRun(
--- a/packages/gateway/src/completions/completion-run.ts
+++ b/packages/gateway/src/completions/completion-run.ts
@@ -1,5 +1,5 @@
 import type { AttemptEnd } from '@poppypond/backend';
-import { fault, outcomeOf, ownerText } from '@poppypond/core';
+import { fault, outcomeOf, formatOwner } from '@poppypond/core';
 import type { Fault, Milliseconds } from '@poppypond/core';
 import { requestCost } from '@poppypond/policy';
 import type { Charge, PlacementJob } from '@poppypond/policy';
@@ -165,7 +165,7 @@
         engineUrl: engine.url,
         requestId: request.id,
         attempt: this.nextAttempt(),
-        owner: ownerText(context.owner),
+        owner: formatOwner(context.owner),
         dispatch,
         priority: request.priority,
         timeRemainingMs: this.remainingMs,
@@ -222,7 +222,7 @@
         this.#avoid.add(engine.name);
         return 'again';
       })
-      .with({ kind: 'refused', reason: P.string }, ({ reason, restMs }) => {
+      .with({ kind: 'refused', reason: P.string }, ({ reason, backoffMs: restMs }) => {
         if (restMs !== undefined)
           health.onBackoffRequested(restMs, this.context.clock.monotonicMs());
         this.#onEngineFailure(engine);
--- a/packages/gateway/src/configuration/configuration-sync.ts
+++ b/packages/gateway/src/configuration/configuration-sync.ts
@@ -52,7 +52,7 @@
       const stored = objects.map((item) => [objectId(item.object), item] as const);
       holder.replace(new Configuration(revision, new Map(stored)));
     });
-    mesh.onJoined = (member) => {
+    mesh.onPeerConnected = (member) => {
       mesh.send(member.host, ASK, { have: holder.current.revision });
     };
     holder.onChange((configuration) => {
--- a/packages/gateway/src/engines/reservation-keeper.ts
+++ b/packages/gateway/src/engines/reservation-keeper.ts
@@ -1,5 +1,5 @@
-import { releaseMemory, renewMemory } from '@poppypond/backend';
-import { ownerText } from '@poppypond/core';
+import { releaseReservations, renewReservations } from '@poppypond/backend';
+import { formatOwner } from '@poppypond/core';
 import type { Clock, Owner } from '@poppypond/core';
 
 /** Time that a reservation lives without renewal. */
@@ -50,7 +50,7 @@
   }
 
   async #releaseOn(url: string, ids: readonly string[], tries: number): Promise<void> {
-    const released = await releaseMemory(url, ids);
+    const released = await releaseReservations(url, ids);
     if (released.isOk || tries <= 1) return;
     this.clock.after(RELEASE_RETRY_MS, () => {
       void this.#releaseOn(url, ids, tries - 1);
@@ -60,7 +60,7 @@
   async #renewAll(): Promise<void> {
     await Promise.all(
       this.#byEngine([...this.#kept.values()]).map(([url, ids]) =>
-        renewMemory(url, ownerText(this.owner), ids, RESERVATION_TTL_MS),
+        renewReservations(url, formatOwner(this.owner), ids, RESERVATION_TTL_MS),
       ),
     );
   }
--- a/packages/gateway/src/engines/watched-engine.ts
+++ b/packages/gateway/src/engines/watched-engine.ts
@@ -1,5 +1,5 @@
-import { LineFeed, loadReportSchema } from '@poppypond/backend';
-import { ownerText } from '@poppypond/core';
+import { JsonLinesFeed, loadReportSchema } from '@poppypond/backend';
+import { formatOwner } from '@poppypond/core';
 import type { Clock, Milliseconds, Owner } from '@poppypond/core';
 import type { Versioned } from '@poppypond/objects';
 import { EngineLoad, PrefixIndex, ServerHealth } from '@poppypond/policy';
@@ -18,8 +18,8 @@
   readonly load: EngineLoad;
   readonly health = new ServerHealth();
   readonly prefixes = new PrefixIndex();
-  readonly #loadFeed: LineFeed;
-  readonly #cacheFeed: LineFeed;
+  readonly #loadFeed: JsonLinesFeed;
+  readonly #cacheFeed: JsonLinesFeed;
 
   constructor(
     readonly server: Versioned<'backend-server'>,
@@ -31,10 +31,10 @@
     const { name, spec } = server.object;
     this.load = new EngineLoad(name, spec.zone, settings.prefillTokensPerMs);
     const query = new URLSearchParams({
-      owner: ownerText(owner),
+      owner: formatOwner(owner),
       period: String(settings.engineReportPeriodMs),
     }).toString();
-    this.#loadFeed = new LineFeed(
+    this.#loadFeed = new JsonLinesFeed(
       `${spec.url}/load/stream?${query}`,
       {
         onLine: (line) => {
@@ -47,7 +47,7 @@
       },
       clock,
     );
-    this.#cacheFeed = new LineFeed(
+    this.#cacheFeed = new JsonLinesFeed(
       `${spec.url}/cache/stream`,
       {
         onLine: (line) => {
--- a/packages/gateway/src/groups/group-run.ts
+++ b/packages/gateway/src/groups/group-run.ts
@@ -1,7 +1,7 @@
 import { reserveMemory } from '@poppypond/backend';
-import { delay, fault, ownerText } from '@poppypond/core';
+import { delay, fault, formatOwner } from '@poppypond/core';
 import type { Fault } from '@poppypond/core';
-import { BLOCK_TOKENS, cutAtBlocks, estimateTokens } from '@poppypond/hashing';
+import { BLOCK_TOKENS, splitAtBlocks, estimateTokens } from '@poppypond/hashing';
 import { groupEngineCount, planGroup } from '@poppypond/policy';
 import type { EngineState, GroupPart } from '@poppypond/policy';
 import type { CompletionRun } from '../completions/completion-run.js';
@@ -76,7 +76,7 @@
   plan.forEach((part, index) => {
     const isLast = index === plan.length - 1;
     const tokens = isLast ? estimateTokens(rest) : part.tokens;
-    const text = isLast ? rest : (cutAtBlocks(rest, tokens)[0] ?? '');
+    const text = isLast ? rest : (splitAtBlocks(rest, tokens)[0] ?? '');
     texts.push(text);
     rest = rest.slice(text.length);
   });
@@ -100,7 +100,7 @@
     const engine = context.engines.find(part.engineId);
     const result = engine
       ? await reserveMemory(engine.url, {
-          owner: ownerText(context.owner),
+          owner: formatOwner(context.owner),
           requestId: request.id,
           attempt,
           tokens: part.tokens,
@@ -145,7 +145,7 @@
         engineUrl: part.engineUrl,
         requestId: request.id,
         attempt: run.nextAttempt(),
-        owner: ownerText(context.owner),
+        owner: formatOwner(context.owner),
         dispatch,
         priority: request.priority,
         timeRemainingMs: run.remainingMs,
@@ -170,8 +170,8 @@
     run.ends.begin();
     const end = await run.watchAttempt(attempt);
     part.engine.load.onEnd(dispatch);
-    if (end.kind === 'refused' && end.restMs !== undefined) {
-      part.engine.health.onBackoffRequested(end.restMs, context.clock.monotonicMs());
+    if (end.kind === 'refused' && end.backoffMs !== undefined) {
+      part.engine.health.onBackoffRequested(end.backoffMs, context.clock.monotonicMs());
     }
     if (end.kind === 'cut') await run.ends.onCut(part.engine.name, part.engineUrl);
     if (end.kind === 'time_limit') return fault('time_limit', '', { rule: request.rule });
--- a/packages/gateway/src/quarantine/host-quarantine.test.ts
+++ b/packages/gateway/src/quarantine/host-quarantine.test.ts
@@ -1,13 +1,13 @@
 import { ManualClock } from '@poppypond/mocks';
 import { silentLog, silentMetrics } from '@poppypond/telemetry';
-import type { ServerState } from '@poppypond/web';
+import type { ProbeResult } from '@poppypond/web';
 import { describe, expect, it } from 'vitest';
 import { HostQuarantine } from './host-quarantine.js';
 
 const CONTENT = { head: ['w', 'm'], body: Buffer.from('a prompt') };
 const MOST_ATTEMPTS = 10;
 
-function make(state: () => ServerState) {
+function make(state: () => ProbeResult) {
   const clock = new ManualClock();
   const ask = () => Promise.resolve(state());
   const parts = { clock, log: silentLog, metrics: silentMetrics, host: 'h', ask };
@@ -39,7 +39,7 @@
   });
 
   it('counts no broken answer of a server that lives, and frees a request that is served', async () => {
-    let state: ServerState = 'listening';
+    let state: ProbeResult = 'listening';
     const { quarantine } = make(() => state);
     expect(await tryOnce(quarantine)).toBe(MOST_ATTEMPTS);
     state = 'refused';
--- a/packages/gateway/src/quarantine/host-quarantine.ts
+++ b/packages/gateway/src/quarantine/host-quarantine.ts
@@ -9,8 +9,8 @@
   QuarantineVerdict,
 } from '@poppypond/fleet';
 import type { Log, Metrics } from '@poppypond/telemetry';
-import { askServerState } from '@poppypond/web';
-import type { ServerPlace, ServerState } from '@poppypond/web';
+import { probeServer } from '@poppypond/web';
+import type { ServerEndpoint, ProbeResult } from '@poppypond/web';
 
 /** What it needs. */
 export interface HostQuarantineParts {
@@ -19,10 +19,10 @@
   readonly metrics: Metrics;
   readonly host: string;
   /** Whether a server whose answer broke off is there; a test answers for it. */
-  readonly ask?: (server: ServerPlace) => Promise<ServerState>;
+  readonly ask?: (server: ServerEndpoint) => Promise<ProbeResult>;
 }
 
-function placeOf(url: string): ServerPlace {
+function placeOf(url: string): ServerEndpoint {
   const { hostname, port, protocol } = new URL(url);
   const usualPort = protocol === 'https:' ? 443 : 80;
   return { address: hostname, port: port === '' ? usualPort : Number(port) };
@@ -111,7 +111,7 @@
   async onCut(server: string, url: string): Promise<void> {
     const { clock, ask } = this.quarantine.parts;
     const place = placeOf(url);
-    const state = await (ask ? ask(place) : askServerState(clock, place));
+    const state = await (ask ? ask(place) : probeServer(clock, place));
     if (state !== 'listening') this.followed.onTerminated(this.#attempt, server);
   }
 
--- a/packages/gateway/src/services/dispatch-call.ts
+++ b/packages/gateway/src/services/dispatch-call.ts
@@ -28,7 +28,7 @@
   isAborted: boolean,
   nowMs: Milliseconds,
 ): void {
-  const restMs = end.kind === 'unknown' ? undefined : end.restMs;
+  const restMs = end.kind === 'unknown' ? undefined : end.backoffMs;
   if (restMs !== undefined) health.onBackoffRequested(restMs, nowMs);
   else if (end.kind === 'answered') health.onSuccess();
   if (end.kind === 'answered') return;
--- a/packages/gateway/src/settings.ts
+++ b/packages/gateway/src/settings.ts
@@ -6,7 +6,7 @@
   numberSetting,
   portSetting,
   urlSetting,
-  yesNoSetting,
+  booleanSetting,
 } from '@poppypond/settings';
 import { z } from 'zod';
 
@@ -43,10 +43,10 @@
     .enum(['predicted-start', 'round-robin', 'least-requests', 'least-tokens'])
     .default('predicted-start')
     .describe('how engines are chosen; the last three are baselines'),
-  useLanes: yesNoSetting.default(true).describe('keep some engines free of long work'),
-  useLateBinding: yesNoSetting.default(true).describe('wait at the host while engines are busy'),
-  useAffinity: yesNoSetting.default(true).describe('count prefix cache hints'),
-  usePriority: yesNoSetting.default(true).describe('pass priorities to engines'),
+  useLanes: booleanSetting.default(true).describe('keep some engines free of long work'),
+  useLateBinding: booleanSetting.default(true).describe('wait at the host while engines are busy'),
+  useAffinity: booleanSetting.default(true).describe('count prefix cache hints'),
+  usePriority: booleanSetting.default(true).describe('pass priorities to engines'),
   bindWithinMs: millisecondsSetting
     .default(150)
     .describe('most work ahead on an engine that is given a request'),
--- a/packages/gateway/src/shares/share-keeper.test.ts
+++ b/packages/gateway/src/shares/share-keeper.test.ts
@@ -1,5 +1,5 @@
 import { FakeNetwork, ManualClock, MemoryRows, MemoryTable } from '@poppypond/mocks';
-import type { CallFate } from '@poppypond/mocks';
+import type { CallOutcome } from '@poppypond/mocks';
 import type { AppliedBudget } from '@poppypond/policy';
 import { silentLog } from '@poppypond/telemetry';
 import fc from 'fast-check';
@@ -12,7 +12,7 @@
   budget: { unitsPerSecond: 1000, burstUnits: 20_000 },
 };
 
-function makeFleet(fates: () => CallFate = () => 'ok') {
+function makeFleet(fates: () => CallOutcome = () => 'ok') {
   const rows = new MemoryRows();
   const network = new FakeNetwork();
   const clock = new ManualClock();
@@ -78,7 +78,7 @@
       units: fc.integer({ min: 1, max: 20_000 }),
       byMs: fc.integer({ min: 0, max: 3000 }),
     });
-    const fate = fc.constantFrom<CallFate>('ok', 'ok', 'ok', 'down', 'lost');
+    const fate = fc.constantFrom<CallOutcome>('ok', 'ok', 'ok', 'down', 'lost');
     await fc.assert(
       fc.asyncProperty(
         fc.array(step, { maxLength: 40 }),
--- a/packages/gateway/src/shares/share-keeper.ts
+++ b/packages/gateway/src/shares/share-keeper.ts
@@ -1,4 +1,4 @@
-import { delay, ownerText, parseOwner, randomId } from '@poppypond/core';
+import { delay, formatOwner, parseOwner, randomId } from '@poppypond/core';
 import type { Clock, Milliseconds, Owner } from '@poppypond/core';
 import { rendezvousOrder } from '@poppypond/hashing';
 import type { Member, PeerMessages } from '@poppypond/peer';
@@ -76,7 +76,7 @@
   ) {
     this.budgets = new Budgets((id) => this.#held.get(id)?.share ?? 0);
     this.#table = new ShareTable(table, clock, owner);
-    this.#self = ownerText(owner);
+    this.#self = formatOwner(owner);
     mesh.on(SHARE_ASK, shareAskSchema, (from, ask) => {
       this.#onAsk(from, ask);
     });
--- a/packages/gateway/src/shares/share-table.ts
+++ b/packages/gateway/src/shares/share-table.ts
@@ -1,4 +1,4 @@
-import { delay, ownerText } from '@poppypond/core';
+import { delay, formatOwner } from '@poppypond/core';
 import type { Clock, Owner } from '@poppypond/core';
 import type { TableStore } from '@poppypond/state';
 import { z } from 'zod';
@@ -45,7 +45,7 @@
     readonly clock: Clock,
     owner: Owner,
   ) {
-    this.#self = ownerText(owner);
+    this.#self = formatOwner(owner);
   }
 
   /** Changes a row until no other host has changed it in between; undefined if it can't be. */
--- a/packages/gateway/src/status/claims-app.ts
+++ b/packages/gateway/src/status/claims-app.ts
@@ -1,4 +1,4 @@
-import { ownerText } from '@poppypond/core';
+import { formatOwner } from '@poppypond/core';
 import { sendJson } from '@poppypond/web';
 import type { Router } from '@poppypond/web';
 import type { GatewayContext } from '../context.js';
@@ -12,7 +12,7 @@
     const engineUrl = query.get('engine') ?? '';
     const id = query.get('reservation') ?? '';
     sendJson(response, 200, {
-      owner: ownerText(context.owner),
+      owner: formatOwner(context.owner),
       isClaimed: context.reservations.isClaimed({ engineUrl, id }),
     });
   });
--- a/packages/hashing/src/prefix-chain.ts
+++ b/packages/hashing/src/prefix-chain.ts
@@ -22,7 +22,7 @@
  * The chain values after each whole block of `text`, at most `maxBlocks` of them.
  * Two prompts share their first n blocks exactly when they share the n-th value.
  */
-export function chainBlocks(
+export function hashBlocks(
   text: string,
   maxBlocks: number,
   start: bigint = CHAIN_START,
@@ -39,20 +39,20 @@
 }
 
 /** The chain value after all of `text`, its last part block included. */
-export function chainWhole(text: string, start: bigint = CHAIN_START): bigint {
-  const blocks = chainBlocks(text, Number.POSITIVE_INFINITY, start);
+export function hashText(text: string, start: bigint = CHAIN_START): bigint {
+  const blocks = hashBlocks(text, Number.POSITIVE_INFINITY, start);
   const rest = text.slice(blocks.length * BLOCK_CHARACTERS);
   const value = blocks.at(-1) ?? start;
   return rest.length > 0 ? h64(rest, value) : value;
 }
 
 /** A chain value as 16 hexadecimal digits. */
-export function chainText(value: bigint): string {
+export function formatChainHash(value: bigint): string {
   return value.toString(16).padStart(16, '0');
 }
 
 /** Cuts `text` into parts of at most `maxTokens` tokens, each but the last a whole number of blocks. */
-export function cutAtBlocks(text: string, maxTokens: number): readonly string[] {
+export function splitAtBlocks(text: string, maxTokens: number): readonly string[] {
   const blocks = Math.max(1, Math.floor(maxTokens / BLOCK_TOKENS));
   const characters = blocks * BLOCK_CHARACTERS;
   const parts: string[] = [];
--- a/packages/launch/src/fleet.ts
+++ b/packages/launch/src/fleet.ts
@@ -13,7 +13,7 @@
   readonly services: number;
   readonly controllers?: number;
   /** Tells the admin program the gateways' addresses, by a second start. */
-  readonly adminGateways?: boolean;
+  readonly passesGatewaysToAdmin?: boolean;
   readonly zones?: readonly string[];
   readonly gatewayFlags?: Flags;
   readonly engineFlags?: Flags;
@@ -114,7 +114,7 @@
     await fleet.apply([...objects.values()], 'first');
     for (let index = 0; index < options.gateways; index += 1) await fleet.startGateway();
     await fleet.waitReady();
-    if (options.adminGateways) {
+    if (options.passesGatewaysToAdmin) {
       await fleet.admin.kill();
       const urls = fleet.gateways.map((gateway) => gateway.url);
       fleet.admin = await startAdmin(platform.url, urls);
--- a/packages/load/src/prompt.ts
+++ b/packages/load/src/prompt.ts
@@ -1,4 +1,4 @@
-import { answerToken, chainWhole, CHARACTERS_PER_TOKEN } from '@poppypond/hashing';
+import { answerToken, hashText, CHARACTERS_PER_TOKEN } from '@poppypond/hashing';
 
 const WORDS = 'unit holder balance ledger tariff meter reading clause annex payment account total ';
 
@@ -11,6 +11,6 @@
 
 /** The text that the engine stand-in answers to a prompt with. */
 export function expectedAnswer(prompt: string, tokens: number): string {
-  const chain = chainWhole(prompt);
+  const chain = hashText(prompt);
   return Array.from({ length: tokens }, (_, index) => answerToken(chain, index)).join('');
 }
--- a/packages/load/src/summarize.ts
+++ b/packages/load/src/summarize.ts
@@ -1,7 +1,7 @@
 import { build } from 'hdr-histogram-js';
 import type { Histogram } from 'hdr-histogram-js';
 import type { LoadSample } from './run-load.js';
-import { SHORT_TOKENS } from './workload.js';
+import { SHORT_PROMPT_TOKENS } from './workload.js';
 
 /** Percentiles in milliseconds. */
 export interface Percentiles {
@@ -66,7 +66,9 @@
   for (const { code } of samples) codes[code] = (codes[code] ?? 0) + 1;
   return {
     requests: samples.length,
-    short: firstTokenPercentiles(samples.filter((sample) => sample.promptTokens < SHORT_TOKENS)),
+    short: firstTokenPercentiles(
+      samples.filter((sample) => sample.promptTokens < SHORT_PROMPT_TOKENS),
+    ),
     longestTenth: firstTokenPercentiles(byLengthDown.slice(0, Math.ceil(samples.length / 10))),
     byLength: Object.fromEntries(groups),
     codes,
--- a/packages/load/src/workload.ts
+++ b/packages/load/src/workload.ts
@@ -27,7 +27,7 @@
 }
 
 /** Prompts below this are short questions. */
-export const SHORT_TOKENS = 8192;
+export const SHORT_PROMPT_TOKENS = 8192;
 
 const MIDDLE_SHARE = 0.18;
 const SHORT_RANGE = [800, 4000] as const;
@@ -75,7 +75,7 @@
     const rate = options.requestsPerSecond * (isBurst ? options.burstFactor : 1);
     atMs += (-Math.log(1 - uniform()) / rate) * MS_PER_SECOND;
     const promptTokens = choosePrompt(isBurst ? options.hugeShare / 2 : options.hugeShare, uniform);
-    const isShared = promptTokens > SHORT_TOKENS && uniform() < SHARED_DOCUMENT_CHANCE;
+    const isShared = promptTokens > SHORT_PROMPT_TOKENS && uniform() < SHARED_DOCUMENT_CHANCE;
     arrivals.push({
       index: arrivals.length,
       atMs,
--- a/packages/measure/src/mixed.ts
+++ b/packages/measure/src/mixed.ts
@@ -1,6 +1,6 @@
 import { Fleet, getJson } from '@poppypond/launch';
 import type { Flags } from '@poppypond/launch';
-import { makeWorkload, runLoad, SHORT_TOKENS, summarize } from '@poppypond/load';
+import { makeWorkload, runLoad, SHORT_PROMPT_TOKENS, summarize } from '@poppypond/load';
 import type { Arrival, LoadSample, LoadSummary } from '@poppypond/load';
 import { z } from 'zod';
 import { chartByLength } from './chart.js';
@@ -106,7 +106,7 @@
   });
   try {
     const arrivals = makeWorkload({ ...options, seed, burstFactor: 1.5, hugeShare: 0.02 });
-    const short = arrivals.filter((arrival) => arrival.promptTokens < SHORT_TOKENS);
+    const short = arrivals.filter((arrival) => arrival.promptTokens < SHORT_PROMPT_TOKENS);
     const alone = summarize(await runArrivals(fleet, short, seed), TIME_LIMIT_MS);
     const samples = await runArrivals(fleet, arrivals, seed);
     const mixed = summarize(samples, TIME_LIMIT_MS);
--- a/packages/mocks/src/fake-mesh.ts
+++ b/packages/mocks/src/fake-mesh.ts
@@ -4,7 +4,7 @@
 type Handler = (from: Member, body: unknown) => void;
 
 /** A message on its way between two fake hosts. */
-export interface InFlight {
+export interface InFlightMessage {
   readonly from: string;
   readonly to: string;
   deliver(): void;
@@ -13,7 +13,7 @@
 /** Hosts in one process whose messages a test delivers, drops or repeats. */
 export class FakeNetwork {
   readonly hosts = new Map<string, FakeMesh>();
-  readonly inFlight: InFlight[] = [];
+  readonly inFlight: InFlightMessage[] = [];
 
   join(host: string, incarnation: string): FakeMesh {
     const self = {
--- a/packages/mocks/src/fake-objects.ts
+++ b/packages/mocks/src/fake-objects.ts
@@ -2,7 +2,7 @@
 import { Result } from 'true-myth';
 
 /** An object store in memory that can be down. */
-export class FakeObjects implements ObjectStore {
+export class FakeObjectStore implements ObjectStore {
   readonly objects = new Map<string, string>();
   isDown = false;
 
--- a/packages/mocks/src/manual-clock.ts
+++ b/packages/mocks/src/manual-clock.ts
@@ -1,4 +1,4 @@
-import { everyByAfter } from '@poppypond/core';
+import { repeatUsingAfter } from '@poppypond/core';
 import type { CancelTimer, Clock, Milliseconds } from '@poppypond/core';
 
 interface Timer {
@@ -38,7 +38,7 @@
   }
 
   every(periodMs: Milliseconds, callback: () => void): CancelTimer {
-    return everyByAfter(this, periodMs, callback);
+    return repeatUsingAfter(this, periodMs, callback);
   }
 
   #nextDue(untilMs: Milliseconds): Timer | undefined {
--- a/packages/mocks/src/memory-table.ts
+++ b/packages/mocks/src/memory-table.ts
@@ -8,13 +8,13 @@
 import { Result } from 'true-myth';
 
 /** What happens to the next call. `lost`: it takes effect and its answer is lost. */
-export type CallFate = 'ok' | 'down' | 'lost' | 'hang-then-lost';
+export type CallOutcome = 'ok' | 'down' | 'lost' | 'hang-then-lost';
 
 /** Decides the fate of each call; `isWrite` tells reads from writes. */
-export type FateOf = (isWrite: boolean) => CallFate;
+export type PickOutcome = (isWrite: boolean) => CallOutcome;
 
 /** Waits before and after a call takes effect, so that a test can order calls. */
-export type Pause = (label: string) => Promise<void>;
+export type YieldPoint = (label: string) => Promise<void>;
 
 const UNAVAILABLE: StoreFault = { reason: 'unavailable', detail: 'down' };
 const UNCONFIRMED: StoreFault = { reason: 'unconfirmed', detail: 'answer lost' };
@@ -49,22 +49,22 @@
 export class MemoryTable implements TableStore {
   constructor(
     readonly shared: MemoryRows,
-    public fateOf: FateOf = () => 'ok',
-    readonly pause: Pause = () => Promise.resolve(),
+    public pickOutcome: PickOutcome = () => 'ok',
+    readonly yieldAt: YieldPoint = () => Promise.resolve(),
   ) {}
 
   async get(key: string): Promise<Result<TableRow | undefined, StoreFault>> {
-    const fate = this.fateOf(false);
-    await this.pause(`get ${key}`);
+    const fate = this.pickOutcome(false);
+    await this.yieldAt(`get ${key}`);
     if (fate !== 'ok') return Result.err(UNAVAILABLE);
     const row = this.shared.rows.get(key);
-    await this.pause(`got ${key}`);
+    await this.yieldAt(`got ${key}`);
     return Result.ok(row);
   }
 
   async scan(prefix: string, after = ''): Promise<Result<readonly TableRow[], StoreFault>> {
-    const fate = this.fateOf(false);
-    await this.pause(`scan ${prefix}`);
+    const fate = this.pickOutcome(false);
+    await this.yieldAt(`scan ${prefix}`);
     if (fate !== 'ok') return Result.err(UNAVAILABLE);
     const rows = [...this.shared.rows.values()]
       .filter((row) => row.key.startsWith(prefix) && row.key > after)
@@ -73,15 +73,15 @@
   }
 
   async transact(transaction: TableTransaction): Promise<Result<TransactionResult, StoreFault>> {
-    const fate = this.fateOf(true);
+    const fate = this.pickOutcome(true);
     if (fate === 'down') return Result.err(UNAVAILABLE);
     if (fate === 'hang-then-lost') {
-      void this.pause('late write').then(() => this.shared.apply(transaction));
+      void this.yieldAt('late write').then(() => this.shared.apply(transaction));
       return Result.err(UNCONFIRMED);
     }
-    await this.pause('write');
+    await this.yieldAt('write');
     const result = this.shared.apply(transaction);
-    await this.pause('written');
+    await this.yieldAt('written');
     return fate === 'lost' ? Result.err(UNCONFIRMED) : Result.ok(result);
   }
 }
--- a/packages/mocks/src/scheduled-clock.ts
+++ b/packages/mocks/src/scheduled-clock.ts
@@ -1,14 +1,14 @@
 import type { CancelTimer, Clock, Milliseconds } from '@poppypond/core';
 
 /** Orders callbacks, e.g. a fast-check scheduler. */
-export interface Orderer {
+export interface TaskScheduler {
   schedule<Value>(task: Promise<Value>, label?: string): Promise<Value>;
 }
 
 /** A clock whose timers fire in whatever order the orderer picks; time stands still. */
 export class ScheduledClock implements Clock {
   constructor(
-    readonly orderer: Orderer,
+    readonly scheduler: TaskScheduler,
     readonly nowMs: Milliseconds = 1000,
   ) {}
 
@@ -22,7 +22,7 @@
 
   after(_delayMs: Milliseconds, callback: () => void): CancelTimer {
     let isCancelled = false;
-    void this.orderer.schedule(Promise.resolve(), 'timer').then(() => {
+    void this.scheduler.schedule(Promise.resolve(), 'timer').then(() => {
       if (!isCancelled) callback();
     });
     return () => {
--- a/packages/objects/src/configuration.ts
+++ b/packages/objects/src/configuration.ts
@@ -1,4 +1,4 @@
-import { isSelected } from './selector.js';
+import { matchesSelector } from './selector.js';
 import type { ConfigObject, ObjectKind, ObjectOf } from './kinds.js';
 import { objectId, OBJECT_KINDS } from './kinds.js';
 
@@ -90,7 +90,7 @@
 
   #selectMembers(pool: ObjectOf<'pool'>): readonly Versioned<'backend-server'>[] {
     return this.list('backend-server').filter((server) =>
-      isSelected(pool.spec.members, server.object.labels),
+      matchesSelector(pool.spec.members, server.object.labels),
     );
   }
 
--- a/packages/objects/src/objects.test.ts
+++ b/packages/objects/src/objects.test.ts
@@ -4,7 +4,7 @@
 import type { ConfigObject } from './kinds.js';
 import { objectId } from './kinds.js';
 import { resolveTraffic } from './resolve.js';
-import { isNeverMet, isSelected, parseSelector, selectorText } from './selector.js';
+import { isUnsatisfiable, matchesSelector, parseSelector, formatSelector } from './selector.js';
 import type { Selector } from './selector.js';
 import { parseObjects } from './validate.js';
 
@@ -36,7 +36,7 @@
   it('can be written and read back', () => {
     fc.assert(
       fc.property(selector, (given) => {
-        expect(parseSelector(selectorText(given))).toEqual(given);
+        expect(parseSelector(formatSelector(given))).toEqual(given);
       }),
       { seed: 41 },
     );
@@ -51,7 +51,7 @@
             one === undefined ? [] : [[name, one]],
           ),
         );
-        if (isSelected(given, labels)) expect(isNeverMet(given)).toBe(false);
+        if (matchesSelector(given, labels)) expect(isUnsatisfiable(given)).toBe(false);
       }),
       { seed: 42, numRuns: 2000 },
     );
--- a/packages/objects/src/resolve.ts
+++ b/packages/objects/src/resolve.ts
@@ -1,6 +1,6 @@
 import type { Labels } from '@poppypond/core';
 import type { Configuration, Versioned } from './configuration.js';
-import { isSelected } from './selector.js';
+import { matchesSelector } from './selector.js';
 
 /** What decides which class, rule and pools a request gets. */
 export interface Traffic {
@@ -31,7 +31,7 @@
   return (
     traffic.promptTokens >= spec.minPromptTokens &&
     traffic.promptTokens <= (spec.maxPromptTokens ?? Number.POSITIVE_INFINITY) &&
-    isSelected(spec.traffic, traffic.labels)
+    matchesSelector(spec.traffic, traffic.labels)
   );
 }
 
@@ -64,12 +64,12 @@
     : traffic.labels;
   const [rule, ...others] = configuration
     .list('rule')
-    .filter((candidate) => isSelected(candidate.object.spec.traffic, labels))
+    .filter((candidate) => matchesSelector(candidate.object.spec.traffic, labels))
     .sort(byPrecedence);
   if (!rule) return undefined;
   const pools = configuration
     .list('pool')
-    .filter((pool) => isSelected(rule.object.spec.pools, pool.object.labels));
+    .filter((pool) => matchesSelector(rule.object.spec.pools, pool.object.labels));
   return {
     requestClass,
     rule,
--- a/packages/objects/src/selector.ts
+++ b/packages/objects/src/selector.ts
@@ -48,7 +48,7 @@
 }
 
 /** Whether `labels` meet every term of `selector`. */
-export function isSelected(selector: Selector, labels: Labels): boolean {
+export function matchesSelector(selector: Selector, labels: Labels): boolean {
   return selector.every((term) => isTermMet(term, labels));
 }
 
@@ -68,7 +68,7 @@
 }
 
 /** The form that `parseSelector` reads. */
-export function selectorText(selector: Selector): string {
+export function formatSelector(selector: Selector): string {
   return selector.map(termText).join('; ');
 }
 
@@ -97,7 +97,7 @@
 }
 
 /** Whether no labels at all can meet the selector, judged term by term on each key. */
-export function isNeverMet(selector: Selector): boolean {
+export function isUnsatisfiable(selector: Selector): boolean {
   return selector.some((term, index) =>
     selector.slice(index + 1).some((other) => other.key === term.key && areOpposed(term, other)),
   );
--- a/packages/objects/src/validate.ts
+++ b/packages/objects/src/validate.ts
@@ -4,7 +4,7 @@
 import type { Configuration } from './configuration.js';
 import type { ConfigObject } from './kinds.js';
 import { objectId, objectSchema } from './kinds.js';
-import { isNeverMet, isSelected } from './selector.js';
+import { isUnsatisfiable, matchesSelector } from './selector.js';
 import type { Selector } from './selector.js';
 
 /** A wrong field: where it is and what is wrong. */
@@ -47,8 +47,8 @@
   selector: Selector,
   candidates: readonly Labels[],
 ): readonly string[] {
-  if (isNeverMet(selector)) return [`${where} can never match`];
-  if (candidates.some((labels) => isSelected(selector, labels))) return [];
+  if (isUnsatisfiable(selector)) return [`${where} can never match`];
+  if (candidates.some((labels) => matchesSelector(selector, labels))) return [];
   return [`${where} matches no object now`];
 }
 
@@ -57,7 +57,7 @@
   const pools = configuration.list('pool').map((pool) => pool.object.labels);
   switch (object.kind) {
     case 'rule': {
-      const never = isNeverMet(object.spec.traffic) ? [`${id}: traffic can never match`] : [];
+      const never = isUnsatisfiable(object.spec.traffic) ? [`${id}: traffic can never match`] : [];
       if (object.spec.action === 'refuse') return never;
       return [...never, ...warnSelector(`${id}: pools`, object.spec.pools, pools)];
     }
@@ -68,7 +68,7 @@
       return warnSelector(`${id}: members`, object.spec.members, servers);
     }
     case 'request-class':
-      return isNeverMet(object.spec.traffic) ? [`${id}: traffic can never match`] : [];
+      return isUnsatisfiable(object.spec.traffic) ? [`${id}: traffic can never match`] : [];
     case 'key':
       return configuration.get('workspace', object.spec.workspace)
         ? []
--- a/packages/peer/src/membership.test.ts
+++ b/packages/peer/src/membership.test.ts
@@ -18,14 +18,14 @@
   ])('tells of each of %i members to each of %i receivers in turn', (members, receivers) => {
     const times = { suspectAfterMs: 200, removeAfterMs: 600 };
     const membership = new Membership(member(99), times, new ManualClock());
-    for (let index = 0; index < members; index += 1) membership.hearDirectly(member(index), 1);
+    for (let index = 0; index < members; index += 1) membership.recordContact(member(index), 1);
     const told = new Map<string, Set<string>>();
     const rounds = Math.ceil(members / 4);
     for (let round = 0; round < rounds; round += 1) {
       for (let index = 0; index < receivers; index += 1) {
         const { host } = member(index);
         const heard = told.get(host) ?? new Set();
-        for (const news of membership.nextNews(host, 4)) heard.add(news.member.host);
+        for (const news of membership.nextGossip(host, 4)) heard.add(news.member.host);
         told.set(host, heard);
       }
     }
--- a/packages/peer/src/membership.ts
+++ b/packages/peer/src/membership.ts
@@ -1,5 +1,5 @@
 import type { Clock, Milliseconds } from '@poppypond/core';
-import type { Member, MemberNews } from './messages.js';
+import type { Member, MemberGossip } from './messages.js';
 
 const MAX_REMOVED = 10_000;
 
@@ -41,7 +41,7 @@
   ) {}
 
   /** Notes that a member itself was heard. */
-  hearDirectly(member: Member, beat: number): void {
+  recordContact(member: Member, beat: number): void {
     const known = this.#entries.get(member.host);
     const isSameRun = known?.member.incarnation === member.incarnation;
     const newest = isSameRun ? Math.max(known.beat, beat) : beat;
@@ -52,7 +52,7 @@
    * Notes what another host passes on. Only a newer heartbeat counts, so that hosts don't keep
    * each other believing in one that is gone; another run counts once the known one is silent.
    */
-  hearThrough({ member, beat }: MemberNews): void {
+  recordGossip({ member, beat }: MemberGossip): void {
     const known = this.#entries.get(member.host);
     if (!known) return this.#put(member, beat);
     const isSameRun = known.member.incarnation === member.incarnation;
@@ -75,7 +75,7 @@
    * News about a few members for one receiver, taken in turn. With one turn for all receivers, 11
    * members and 11 links had each receiver told of the same four for ever.
    */
-  nextNews(receiver: string, count: number): readonly MemberNews[] {
+  nextGossip(receiver: string, count: number): readonly MemberGossip[] {
     const all = [...this.#entries.values()];
     const first = this.#nextNews.get(receiver) ?? 0;
     const news = Array.from({ length: Math.min(count, all.length) }, (_, index) => {
@@ -87,7 +87,7 @@
   }
 
   /** News about every member. */
-  allNews(): readonly MemberNews[] {
+  allGossip(): readonly MemberGossip[] {
     return [...this.#entries.values()].map(({ member, beat }) => ({ member, beat }));
   }
 
--- a/packages/peer/src/mesh.ts
+++ b/packages/peer/src/mesh.ts
@@ -55,7 +55,7 @@
   #isStopped = false;
   #beat = 0;
   /** Called when a member's link has opened. */
-  onJoined: (member: Member) => void = () => undefined;
+  onPeerConnected: (member: Member) => void = () => undefined;
 
   constructor(
     readonly settings: MeshSettings,
@@ -68,8 +68,8 @@
       this.#attach(socket, false);
     });
     this.on(HEARTBEAT, heartbeatSchema, (from, { beat, news }) => {
-      this.membership.hearDirectly(from, beat);
-      for (const one of news) this.membership.hearThrough(one);
+      this.membership.recordContact(from, beat);
+      for (const one of news) this.membership.recordGossip(one);
     });
   }
 
@@ -129,7 +129,7 @@
   #tick(): void {
     this.#beat += 1;
     for (const { host } of this.linked()) {
-      const news = this.membership.nextNews(host, NEWS_COUNT);
+      const news = this.membership.nextGossip(host, NEWS_COUNT);
       this.send(host, HEARTBEAT, { beat: this.#beat, news });
     }
     const linkedUrls = new Set(this.linked().map((member) => member.peerUrl));
@@ -170,7 +170,7 @@
     this.#links.add(link);
     const sayHello = () => {
       const self = { member: this.settings.self, beat: this.#beat };
-      const hello = { self, others: this.membership.allNews() };
+      const hello = { self, others: this.membership.allGossip() };
       sendMessage(socket, hello, MAX_BUFFERED_BYTES, this.traffic);
     };
     if (isDialled) socket.once('open', sayHello);
@@ -185,7 +185,7 @@
   #receive(link: Link, message: unknown): void {
     if (this.#isStopped) return;
     if (!link.member) return this.#greet(link, message);
-    this.membership.hearDirectly(link.member, 0);
+    this.membership.recordContact(link.member, 0);
     const envelope = envelopeSchema.safeParse(message);
     if (envelope.success) this.#handlers.get(envelope.data.kind)?.(link.member, envelope.data.body);
   }
@@ -197,14 +197,14 @@
       return;
     }
     const { member, beat } = hello.data.self;
-    this.membership.hearDirectly(member, beat);
-    for (const news of hello.data.others) this.membership.hearThrough(news);
+    this.membership.recordContact(member, beat);
+    for (const news of hello.data.others) this.membership.recordGossip(news);
     if (this.#isDoubled(link, member)) {
       link.socket.close();
       return;
     }
     link.member = member;
-    this.onJoined(member);
+    this.onPeerConnected(member);
   }
 
   /** Of two links to one run of a host, the one that the lesser name dialled stays. */
--- a/packages/peer/src/messages.ts
+++ b/packages/peer/src/messages.ts
@@ -15,16 +15,19 @@
 export type Member = Readonly<z.infer<typeof memberSchema>>;
 
 /** A member and the newest of its heartbeats that somebody has heard of. */
-export const newsSchema = z.object({ member: memberSchema, beat: z.int().nonnegative() });
+export const gossipSchema = z.object({ member: memberSchema, beat: z.int().nonnegative() });
 
 /** What one host passes on about another. */
-export type MemberNews = Readonly<z.infer<typeof newsSchema>>;
+export type MemberGossip = Readonly<z.infer<typeof gossipSchema>>;
 
 /** The first message on a connection. */
-export const helloSchema = z.object({ self: newsSchema, others: z.array(newsSchema) });
+export const helloSchema = z.object({ self: gossipSchema, others: z.array(gossipSchema) });
 
 /** Sent to each linked peer, with news about a few other members in turn. */
-export const heartbeatSchema = z.object({ beat: z.int().nonnegative(), news: z.array(newsSchema) });
+export const heartbeatSchema = z.object({
+  beat: z.int().nonnegative(),
+  news: z.array(gossipSchema),
+});
 
 /** Any later message: a kind, and a body that the kind's handler checks. */
 export const envelopeSchema = z.object({ kind: z.string(), body: z.unknown() });
--- a/packages/proof/src/commands.ts
+++ b/packages/proof/src/commands.ts
@@ -2,7 +2,7 @@
   countSetting,
   defineCommand,
   millisecondsSetting,
-  yesNoSetting,
+  booleanSetting,
 } from '@poppypond/settings';
 import type { ProgramCommand } from '@poppypond/settings';
 import type { Proof } from './proof.js';
@@ -17,7 +17,7 @@
 const shape = {
   runs: countSetting.default(DEFAULT_RUNS).describe('fault runs of each promise'),
   seed: countSetting.default(DEFAULT_SEED).describe('seed of the first run'),
-  freeSeed: yesNoSetting.default(false).describe('take a seed at random and print it'),
+  freeSeed: booleanSetting.default(false).describe('take a seed at random and print it'),
   timeLimitMs: millisecondsSetting.default(900_000).describe('time limit of each promise'),
 };
 
--- a/packages/proof/src/operators.test.ts
+++ b/packages/proof/src/operators.test.ts
@@ -20,7 +20,7 @@
       services: 1,
       engineFlags: { 'step-base-ms': 1, 'prefill-ms': 0.001 },
       gatewayFlags: { 'config-poll-ms': 200, 'decision-flush-ms': 200 },
-      adminGateways: true,
+      passesGatewaysToAdmin: true,
     });
   });
 
--- a/packages/proof/src/sweep-fuzz.test.ts
+++ b/packages/proof/src/sweep-fuzz.test.ts
@@ -1,5 +1,5 @@
-import { isUnchanged, judgeReservation } from '@poppypond/controller';
-import { ownerText } from '@poppypond/core';
+import { isUnchanged, findReleaseReason } from '@poppypond/controller';
+import { formatOwner } from '@poppypond/core';
 import type { Owner } from '@poppypond/core';
 import { ManualClock } from '@poppypond/mocks';
 import { KvMemory } from '@poppypond/standin';
@@ -49,7 +49,7 @@
   #runs = 0;
   #before = new Map<string, ReturnType<World['list']>[number]>();
 
-  constructor(readonly judge: typeof judgeReservation) {}
+  constructor(readonly judge: typeof findReleaseReason) {}
 
   list() {
     const now = this.clock.monotonicMs();
@@ -68,7 +68,7 @@
         if (this.clock.monotonicMs() >= deadlineMs) {
           claims.delete(id);
           this.memory.release(id);
-        } else this.memory.renew(id, ownerText(owner), TTL_MS);
+        } else this.memory.renew(id, formatOwner(owner), TTL_MS);
       }
     }
   }
@@ -86,7 +86,7 @@
           : undefined;
       if (!this.judge(held, answer)) continue;
       const isNeeded = this.hosts.some(
-        ({ owner, claims }) => ownerText(owner) === held.owner && claims.has(held.id),
+        ({ owner, claims }) => formatOwner(owner) === held.owner && claims.has(held.id),
       );
       if (isNeeded && held.timeRemainingMs > 0) this.robbed.push(held.id);
       this.memory.release(held.id);
@@ -100,7 +100,7 @@
     if (kind === 'sweep') this.sweep();
     if ((kind === 'reserve' || kind === 'answer-lost') && !host.isPaused) {
       const claim = {
-        owner: ownerText(host.owner),
+        owner: formatOwner(host.owner),
         requestId: 'r',
         attempt: 1,
         tokens,
@@ -126,7 +126,7 @@
   }
 }
 
-function sweepProperty(judge: typeof judgeReservation) {
+function sweepProperty(judge: typeof findReleaseReason) {
   return fc.asyncProperty(fc.array(step, { maxLength: 50 }), async (steps) => {
     const world = new World(judge);
     for (const one of steps) {
@@ -146,12 +146,12 @@
 
 describe('the sweep of engine memory', () => {
   it('frees everything in the end and robs nobody, whoever pauses or is replaced', async () => {
-    await fc.assert(sweepProperty(judgeReservation), { seed: 61, numRuns: 1000 });
+    await fc.assert(sweepProperty(findReleaseReason), { seed: 61, numRuns: 1000 });
   });
 
   it('is found out when it takes silence for death', async () => {
     const planted = await fc.check(
-      sweepProperty((held) => judgeReservation(held, undefined) ?? 'owner_disclaims'),
+      sweepProperty((held) => findReleaseReason(held, undefined) ?? 'owner_disclaims'),
       { seed: 61, numRuns: 3000 },
     );
     expect(planted.failed).toBe(true);
--- a/packages/relay/src/backend/server-attempt.ts
+++ b/packages/relay/src/backend/server-attempt.ts
@@ -1,6 +1,6 @@
 import type { CancelTimer, Clock } from '@poppypond/core';
 import type { BackendServer } from '@poppypond/fleet';
-import { CONNECT_LIMIT_MS } from '@poppypond/web';
+import { CONNECT_TIMEOUT_MS } from '@poppypond/web';
 import { request } from 'node:http';
 import type { ClientRequest, IncomingMessage } from 'node:http';
 import type { ResponseHead, HeaderPairs } from '../ports.js';
@@ -128,7 +128,7 @@
     opened.once('close', () => {
       this.#onError('connection closed without a response');
     });
-    this.#cancelConnectTimeout = this.parts.clock.after(CONNECT_LIMIT_MS, () => {
+    this.#cancelConnectTimeout = this.parts.clock.after(CONNECT_TIMEOUT_MS, () => {
       if (!this.#isConnected) this.#settle({ kind: 'not_sent', detail: 'connect timeout' });
     });
     opened.end(body);
--- a/packages/relay/src/compose.ts
+++ b/packages/relay/src/compose.ts
@@ -13,8 +13,8 @@
 import {
   BoundedOutput,
   createLog,
-  lineText,
-  Measures,
+  formatFields,
+  PrometheusMetrics,
   writeStandardOutput,
 } from '@poppypond/telemetry';
 import type { Log } from '@poppypond/telemetry';
@@ -48,7 +48,7 @@
   readonly clock: Clock;
   readonly output: BoundedOutput;
   readonly log: Log;
-  readonly measures: Measures;
+  readonly measures: PrometheusMetrics;
   readonly activeConfiguration: ActiveConfiguration;
   readonly freshness: Freshness;
   readonly fleet: FleetView;
@@ -79,10 +79,10 @@
   const { incarnation } = newOwner(host);
   const clock = new SystemClock();
   const output = new BoundedOutput(clock, writeStandardOutput, (counts) => {
-    return `${lineText({ event: 'lines_dropped', host, ...counts })}\n`;
+    return `${formatFields({ event: 'lines_dropped', host, ...counts })}\n`;
   });
   const log = createLog({ host }, logLevel, (line, level) => {
-    output.line(line, level === 'info' || level === 'debug' ? 'ordinary' : 'important');
+    output.writeLine(line, level === 'info' || level === 'debug' ? 'ordinary' : 'important');
   });
   const activeConfiguration = new ActiveConfiguration();
   const freshness = new Freshness(clock);
@@ -93,7 +93,7 @@
     fleet.forgetServer(id);
     limits.forget(id);
   });
-  const measures = new Measures();
+  const measures = new PrometheusMetrics();
   const rests = new ServerBackoffs(random);
   const notices = new ServerNotices({ clock, log, measures, host, servers, rests, limits });
   const gate = new SendGate({ clock, servers, rests, limits, random });
--- a/packages/relay/src/notices/send-gate.test.ts
+++ b/packages/relay/src/notices/send-gate.test.ts
@@ -1,7 +1,7 @@
 import { ServerBackoffs, ServerLimits } from '@poppypond/fleet';
 import type { BackendServer } from '@poppypond/fleet';
 import { engineServer, ManualClock } from '@poppypond/mocks';
-import { Measures, silentLog } from '@poppypond/telemetry';
+import { PrometheusMetrics, silentLog } from '@poppypond/telemetry';
 import { describe, expect, it } from 'vitest';
 import type { ServerNotice } from '../ports.js';
 import { ServerList } from '../store/server-list.js';
@@ -25,7 +25,7 @@
   const servers = new ServerList(clock, silentLog, LAST_RESORT_MS);
   servers.replace(SERVERS, 0, 1);
   const rests = new ServerBackoffs(random);
-  const measures = new Measures();
+  const measures = new PrometheusMetrics();
   const shared = { clock, servers, rests, limits: new ServerLimits() };
   const notices = new ServerNotices({ ...shared, log: silentLog, measures, host: 'host-1' });
   return { clock, servers, notices, gate: new SendGate({ ...shared, random }) };
--- a/packages/relay/src/notices/server-notices.ts
+++ b/packages/relay/src/notices/server-notices.ts
@@ -9,7 +9,7 @@
   ServerLimits,
   PeerLimit,
 } from '@poppypond/fleet';
-import type { Log, Measures } from '@poppypond/telemetry';
+import type { Log, PrometheusMetrics } from '@poppypond/telemetry';
 import type { ServerNotice } from '../ports.js';
 import type { ServerList } from '../store/server-list.js';
 
@@ -17,7 +17,7 @@
 export interface ServerNoticesParts {
   readonly clock: Clock;
   readonly log: Log;
-  readonly measures: Measures;
+  readonly measures: PrometheusMetrics;
   /** Name of this host. */
   readonly host: string;
   readonly servers: ServerList;
--- a/packages/relay/src/peers/datagram-sender.ts
+++ b/packages/relay/src/peers/datagram-sender.ts
@@ -1,4 +1,4 @@
-import type { Measures } from '@poppypond/telemetry';
+import type { PrometheusMetrics } from '@poppypond/telemetry';
 import { createSocket } from 'node:dgram';
 import type { Socket } from 'node:dgram';
 import { decodeMessage, encodeMessage } from './peer-messages.js';
@@ -18,11 +18,16 @@
 
   private constructor(
     readonly socket: Socket,
-    readonly measures: Measures,
+    readonly measures: PrometheusMetrics,
   ) {}
 
   /** Binds `address:port`. Rejects if the port is in use. */
-  static async bind(address: string, port: number, measures: Measures, listener: MessageListener) {
+  static async bind(
+    address: string,
+    port: number,
+    measures: PrometheusMetrics,
+    listener: MessageListener,
+  ) {
     const socket = createSocket('udp4');
     await new Promise<void>((resolve, reject) => {
       socket.once('error', reject);
--- a/packages/relay/src/peers/member-directory.test.ts
+++ b/packages/relay/src/peers/member-directory.test.ts
@@ -1,4 +1,4 @@
-import { Measures, silentLog } from '@poppypond/telemetry';
+import { PrometheusMetrics, silentLog } from '@poppypond/telemetry';
 import { Result } from 'true-myth';
 import { describe, expect, it } from 'vitest';
 import type { RowStore, StoreFailure } from '../ports.js';
@@ -39,7 +39,7 @@
       return Promise.resolve(Result.ok(1));
     },
   };
-  const members = new MemberDirectory(new CountedStore(store, new Measures()), silentLog);
+  const members = new MemberDirectory(new CountedStore(store, new PrometheusMetrics()), silentLog);
   return { members, calls, rows };
 }
 
--- a/packages/relay/src/peers/mocks/mesh-network.ts
+++ b/packages/relay/src/peers/mocks/mesh-network.ts
@@ -4,7 +4,7 @@
 import { ENGINE_FIGURES, ENGINE_SERVICE, engineServer, ManualClock } from '@poppypond/mocks';
 import { ActiveConfiguration, Freshness } from '@poppypond/routing';
 import type { RoutingConfiguration } from '@poppypond/routing';
-import { Measures, silentLog } from '@poppypond/telemetry';
+import { PrometheusMetrics, silentLog } from '@poppypond/telemetry';
 import { ServerNotices } from '../../notices/server-notices.js';
 import { PlacementClient } from '../../planning/placement-client.js';
 import type { PlanAnswer } from '../../planning/plan-request.js';
@@ -104,7 +104,12 @@
     const fleet = new FleetView();
     this.#incarnations += 1;
     const syncState = new StoreSyncState({ clock, inForce: activeConfiguration, freshness, list });
-    const own = { clock, log: silentLog, measures: new Measures(), host: addressOf(port).host };
+    const own = {
+      clock,
+      log: silentLog,
+      measures: new PrometheusMetrics(),
+      host: addressOf(port).host,
+    };
     const rests = new ServerBackoffs(random);
     const limits = new ServerLimits();
     const notices = new ServerNotices({ ...own, servers: list, rests, limits });
--- a/packages/relay/src/quarantine/run-ends.ts
+++ b/packages/relay/src/quarantine/run-ends.ts
@@ -1,12 +1,12 @@
 import { delay } from '@poppypond/core';
 import type { Clock, Milliseconds } from '@poppypond/core';
 import type { BackendServer, FollowedRequest } from '@poppypond/fleet';
-import { askServerState } from '@poppypond/web';
-import type { ServerState } from '@poppypond/web';
+import { probeServer } from '@poppypond/web';
+import type { ProbeResult } from '@poppypond/web';
 import type { ServerList } from '../store/server-list.js';
 
 /** Result of a check whether a server has terminated; `listening` if it has not. */
-export type ServerFinding = ServerState | 'started_again';
+export type ServerFinding = ProbeResult | 'started_again';
 
 /** Result of the check of one server after an attempt, for the log. */
 export interface ProbedServer {
@@ -54,7 +54,7 @@
    */
   async probe(attempt: string, server: BackendServer, why: string): Promise<void> {
     const { clock } = this.parts;
-    const probed = askServerState(clock, server).then((state) => {
+    const probed = probeServer(clock, server).then((state) => {
       this.#recordFinding(attempt, server, state, why);
       // A process that restarted at once accepts connections too.
       if (state === 'listening') this.#watchForRestart(attempt, server);
--- a/packages/relay/src/quarantine/shared-quarantine.ts
+++ b/packages/relay/src/quarantine/shared-quarantine.ts
@@ -7,13 +7,13 @@
   TerminationHistory,
   QuarantineVerdict,
 } from '@poppypond/fleet';
-import type { Log, Measures } from '@poppypond/telemetry';
+import type { Log, PrometheusMetrics } from '@poppypond/telemetry';
 
 /** Dependencies of `SharedQuarantine`. */
 export interface SharedQuarantineParts {
   readonly clock: Clock;
   readonly log: Log;
-  readonly measures: Measures;
+  readonly measures: PrometheusMetrics;
   /** Name of this host. */
   readonly host: string;
   readonly quarantine: Quarantine;
--- a/packages/relay/src/relay-gauges.ts
+++ b/packages/relay/src/relay-gauges.ts
@@ -28,7 +28,7 @@
     const granted = named.map(
       ({ server }) => [server.id, planner.recentlyGranted(server)] as const,
     );
-    measures.setEach('poppypond_server_limit_per_second', new Map(rates));
-    measures.setEach('poppypond_server_limit_given', new Map(granted));
+    measures.replaceSeries('poppypond_server_limit_per_second', new Map(rates));
+    measures.replaceSeries('poppypond_server_limit_given', new Map(granted));
   }
 }
--- a/packages/relay/src/relay.ts
+++ b/packages/relay/src/relay.ts
@@ -1,6 +1,6 @@
 import { delay } from '@poppypond/core';
 import type { Milliseconds } from '@poppypond/core';
-import { seeSuspensions } from '@poppypond/telemetry';
+import { enableSuspensionDetection } from '@poppypond/telemetry';
 import type { Server } from 'node:http';
 import { Result } from 'true-myth';
 import type { Unit } from 'true-myth';
@@ -203,7 +203,7 @@
       peers.onPause();
     });
     this.#onStop.push(pauseDetector.start());
-    void seeSuspensions(log);
+    void enableSuspensionDetection(log);
   }
 
   /** Opens the ports for readiness checks and metrics. */
--- a/packages/relay/src/request/relay-parts.ts
+++ b/packages/relay/src/request/relay-parts.ts
@@ -1,7 +1,7 @@
 import type { Clock } from '@poppypond/core';
 import type { FleetView, RetryBudget, RecentRejections } from '@poppypond/fleet';
 import type { ActiveConfiguration, Freshness } from '@poppypond/routing';
-import type { Log, Measures } from '@poppypond/telemetry';
+import type { Log, PrometheusMetrics } from '@poppypond/telemetry';
 import type { PermitClient } from '../notices/permit-client.js';
 import type { SendGate } from '../notices/send-gate.js';
 import type { ServerNotices } from '../notices/server-notices.js';
@@ -18,7 +18,7 @@
   readonly clock: Clock;
   readonly host: string;
   readonly log: Log;
-  readonly measures: Measures;
+  readonly measures: PrometheusMetrics;
   readonly wire: RelayWire;
   readonly memory: EngineMemory;
   readonly activeConfiguration: ActiveConfiguration;
--- a/packages/relay/src/settings.ts
+++ b/packages/relay/src/settings.ts
@@ -1,9 +1,9 @@
 import {
-  boundSetting,
-  givenNameSetting,
+  cappedDurationSetting,
+  externalNameSetting,
   numberSetting,
   portSetting,
-  yesNoSetting,
+  booleanSetting,
 } from '@poppypond/settings';
 import { z } from 'zod';
 
@@ -12,8 +12,8 @@
 /** Settings of `poppypond-relay`; see docs/OPERATIONS.md. */
 export const RELAY_SETTINGS = {
   settings: z.string().optional().describe('JSON file with any of these settings in camel case'),
-  host: givenNameSetting.describe('name of this host'),
-  availabilityZone: givenNameSetting.describe('availability zone of this host'),
+  host: externalNameSetting.describe('name of this host'),
+  availabilityZone: externalNameSetting.describe('availability zone of this host'),
   address: z.string().describe('IP address of this host'),
   listen: addressAndPort.describe('address and port for callers'),
   readinessListen: addressAndPort.describe('address and port for the balancer'),
@@ -22,20 +22,20 @@
   peerPort: portSetting.describe('UDP port for other relays'),
   metricsPort: portSetting.default(9464).describe('port of /metrics on the address of this host'),
   store: addressAndPort.describe('address and port of the platform store'),
-  keysTrustedMs: boundSetting
+  keysTrustedMs: cappedDurationSetting
     .default(5000)
     .describe('how long the configuration counts as confirmed to be the newest'),
-  keysNeedProof: yesNoSetting
+  keysNeedProof: booleanSetting
     .default(true)
     .describe(
       'refuse keys without that confirmation; otherwise serve by the last known configuration',
     ),
-  configurationWithinMs: boundSetting
+  configurationWithinMs: cappedDurationSetting
     .default(2000)
     .describe(
       'time within which a new configuration is active on every host after the store accepted it',
     ),
-  leavingWithinMs: boundSetting
+  leavingWithinMs: cappedDurationSetting
     .default(2000)
     .describe(
       'time within which a leaving server gets no new work after the store accepted its entry',
@@ -45,7 +45,7 @@
   retrySlack: numberSetting
     .default(100)
     .describe('retries of all hosts per window in addition to the ratio'),
-  isFirstStart: yesNoSetting
+  isFirstStart: booleanSetting
     .default(false)
     .describe('the whole fleet starts for the first time, so that no host is listed yet'),
   stopGraceSeconds: numberSetting.default(8).describe('time from SIGTERM to SIGKILL'),
--- a/packages/relay/src/store/configuration-watch.test.ts
+++ b/packages/relay/src/store/configuration-watch.test.ts
@@ -1,6 +1,6 @@
 import { ManualClock } from '@poppypond/mocks';
 import { ActiveConfiguration, Freshness } from '@poppypond/routing';
-import { Measures, silentLog } from '@poppypond/telemetry';
+import { PrometheusMetrics, silentLog } from '@poppypond/telemetry';
 import { Result } from 'true-myth';
 import { describe, expect, it } from 'vitest';
 import { StoreSyncState } from '../peers/store-sync-state.js';
@@ -50,7 +50,7 @@
     const watch = new ConfigurationWatch({
       clock,
       log: silentLog,
-      store: new CountedStore(store, new Measures()),
+      store: new CountedStore(store, new PrometheusMetrics()),
       rows: ROWS,
       activeConfiguration,
       freshness,
--- a/packages/relay/src/store/counted-store.ts
+++ b/packages/relay/src/store/counted-store.ts
@@ -1,5 +1,5 @@
 import type { Milliseconds } from '@poppypond/core';
-import type { Measures } from '@poppypond/telemetry';
+import type { PrometheusMetrics } from '@poppypond/telemetry';
 import type { Result } from 'true-myth';
 import type { RowSet, RowStore, StoreFailure } from '../ports.js';
 import type { DirectReadReason } from './direct-read.js';
@@ -11,7 +11,7 @@
 export class CountedStore {
   constructor(
     readonly store: RowStore,
-    readonly measures: Measures,
+    readonly measures: PrometheusMetrics,
   ) {}
 
   /** Reads all rows of a table. */
--- a/packages/relay/src/store/key-trust.ts
+++ b/packages/relay/src/store/key-trust.ts
@@ -6,14 +6,14 @@
   KeyTrustSettings,
   KeyVerdict,
 } from '@poppypond/routing';
-import type { Log, Measures } from '@poppypond/telemetry';
+import type { Log, PrometheusMetrics } from '@poppypond/telemetry';
 import type { StoreSyncState } from '../peers/store-sync-state.js';
 
 /** Dependencies of KeyTrust. */
 export interface KeyTrustParts {
   readonly clock: Clock;
   readonly log: Log;
-  readonly measures: Measures;
+  readonly measures: PrometheusMetrics;
   readonly activeConfiguration: ActiveConfiguration;
   readonly freshness: Freshness;
   readonly syncState: StoreSyncState;
--- a/packages/relay/src/store/server-watch.test.ts
+++ b/packages/relay/src/store/server-watch.test.ts
@@ -1,7 +1,7 @@
 import type { BackendServer } from '@poppypond/fleet';
 import { ManualClock } from '@poppypond/mocks';
 import { ActiveConfiguration, Freshness } from '@poppypond/routing';
-import { createLog, Measures } from '@poppypond/telemetry';
+import { createLog, PrometheusMetrics } from '@poppypond/telemetry';
 import { Result } from 'true-myth';
 import { describe, expect, it } from 'vitest';
 import { StoreSyncState } from '../peers/store-sync-state.js';
@@ -57,7 +57,7 @@
   const watch = new ServerWatch({
     clock,
     log,
-    store: new CountedStore(store, new Measures()),
+    store: new CountedStore(store, new PrometheusMetrics()),
     rows: ROWS,
     list,
     syncState,
--- a/packages/settings/src/schemas.ts
+++ b/packages/settings/src/schemas.ts
@@ -15,7 +15,7 @@
  * A duration in milliseconds that an installation sets: fractions and zero are taken, and what is
  * longer than a day counts as a day.
  */
-export const boundSetting = z.coerce
+export const cappedDurationSetting = z.coerce
   .number<string>()
   .nonnegative()
   .transform((ms) => Math.min(ms, LONGEST_DURATION_MS));
@@ -27,13 +27,13 @@
 export const countSetting = z.coerce.number<string>().int().nonnegative();
 
 /** `true` or `false`, also `1`, `0`, `yes`, `no`. */
-export const yesNoSetting = z.union([z.boolean(), z.stringbool()]);
+export const booleanSetting = z.union([z.boolean(), z.stringbool()]);
 
 /** A name of a host, availability zone or region. */
 export const nameSetting = z.string().regex(/^[a-z0-9-]{1,63}$/, 'use a-z, 0-9 and -');
 
 /** The same where an installation names its hosts by its own customs, with dots or capitals. */
-export const givenNameSetting = z
+export const externalNameSetting = z
   .string()
   .regex(/^[\w.:-]{1,200}$/, 'use letters, digits and . : _ -');
 
--- a/packages/settings/src/settings.test.ts
+++ b/packages/settings/src/settings.test.ts
@@ -3,13 +3,13 @@
 import { join } from 'node:path';
 import { describe, expect, it } from 'vitest';
 import { z } from 'zod';
-import { listSetting, portSetting, yesNoSetting } from './schemas.js';
+import { listSetting, portSetting, booleanSetting } from './schemas.js';
 import { describeSettings, findUnknownVariable, loadSettings } from './settings.js';
 
 const shape = {
   listenPort: portSetting.default(8080).describe('port'),
   peers: listSetting.default([]),
-  useLanes: yesNoSetting.default(true),
+  useLanes: booleanSetting.default(true),
 };
 
 describe('loadSettings', () => {
--- a/packages/standin/src/engine/app.ts
+++ b/packages/standin/src/engine/app.ts
@@ -1,5 +1,5 @@
 import type { Clock } from '@poppypond/core';
-import { chainText } from '@poppypond/hashing';
+import { formatChainHash } from '@poppypond/hashing';
 import { callHttp, listen, parseBody, readBody, Router, sendFault, sendJson } from '@poppypond/web';
 import type { ListeningServer, RouteContext } from '@poppypond/web';
 import { z } from 'zod';
@@ -119,7 +119,7 @@
     .on('GET', '/kv/export/:id', ({ response, params }) => {
       const exported = engine.memory.find(params['id'] ?? '')?.exported;
       if (!exported) return sendJson(response, 404, { refused: 'not_exported' });
-      sendJson(response, 200, { tokens: exported.tokens, chain: chainText(exported.chain) });
+      sendJson(response, 200, { tokens: exported.tokens, chain: formatChainHash(exported.chain) });
     });
 }
 
--- a/packages/standin/src/engine/engine.ts
+++ b/packages/standin/src/engine/engine.ts
@@ -2,7 +2,7 @@
 import type { Clock, Milliseconds } from '@poppypond/core';
 import { callHttp } from '@poppypond/web';
 import { z } from 'zod';
-import { answerToken, CHAIN_START, chainText } from '@poppypond/hashing';
+import { answerToken, CHAIN_START, formatChainHash } from '@poppypond/hashing';
 import { Batch } from './batch.js';
 import type { SequenceEnd } from './batch.js';
 import { noEngineFaults } from './faults.js';
@@ -169,7 +169,7 @@
     const onEnd = (end: SequenceEnd): void => {
       run.end = end;
       this.running.delete(reservation.id);
-      this.memory.keep(end === 'done' ? blocks : [], chainText);
+      this.memory.keep(end === 'done' ? blocks : [], formatChainHash);
       if (end === 'done' && call.prefillOnly) {
         this.memory.markExported(reservation.id, imported.tokens + call.promptTokens, whole);
       } else if (call.reservationId === undefined || end !== 'done') {
--- a/packages/standin/src/engine/generate-call.ts
+++ b/packages/standin/src/engine/generate-call.ts
@@ -1,12 +1,6 @@
 import { parseJson } from '@poppypond/core';
 import type { Milliseconds } from '@poppypond/core';
-import {
-  CHAIN_START,
-  chainBlocks,
-  chainWhole,
-  chatPrompt,
-  estimateTokens,
-} from '@poppypond/hashing';
+import { CHAIN_START, hashBlocks, hashText, chatPrompt, estimateTokens } from '@poppypond/hashing';
 import { z } from 'zod';
 
 const DEFAULT_OUTPUT_TOKENS = 16;
@@ -93,7 +87,7 @@
   start: bigint = CHAIN_START,
 ): { readonly blocks: readonly bigint[]; readonly whole: bigint } {
   return {
-    blocks: chainBlocks(prompt, Number.POSITIVE_INFINITY, start),
-    whole: chainWhole(prompt, start),
+    blocks: hashBlocks(prompt, Number.POSITIVE_INFINITY, start),
+    whole: hashText(prompt, start),
   };
 }
--- a/packages/standin/src/engine/model-settings.ts
+++ b/packages/standin/src/engine/model-settings.ts
@@ -3,7 +3,7 @@
   listSetting,
   millisecondsSetting,
   numberSetting,
-  yesNoSetting,
+  booleanSetting,
 } from '@poppypond/settings';
 
 /**
@@ -23,10 +23,10 @@
   reportPeriodMs: millisecondsSetting.default(100).describe('time between load reports'),
   reportLagMs: numberSetting.default(100).describe('how old a load report is when it is sent'),
   models: listSetting.default(['general']).describe('models held at the start, comma separated'),
-  printRuns: yesNoSetting
+  printRuns: booleanSetting
     .default(false)
     .describe('print each request that runs, as a ground truth that outlives the process'),
-  checksFencing: yesNoSetting.default(true).describe('refuse orders with an older fencing token'),
+  checksFencing: booleanSetting.default(true).describe('refuse orders with an older fencing token'),
 };
 
 /** The engine model's settings. */
--- a/packages/state/src/config/configuration.test.ts
+++ b/packages/state/src/config/configuration.test.ts
@@ -1,7 +1,7 @@
 import { parseObjects } from '@poppypond/objects';
 import type { ConfigObject } from '@poppypond/objects';
 import { MemoryRows, MemoryTable, ScheduledClock, UncheckedRows } from '@poppypond/mocks';
-import type { CallFate } from '@poppypond/mocks';
+import type { CallOutcome } from '@poppypond/mocks';
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
 import { ConfigurationWriter, toObjectWrite } from './configuration-writer.js';
@@ -20,7 +20,7 @@
 
 /** Applies concurrent changes while responses are lost; checks the order of revisions and the accepted changes. */
 function concurrentChangesProperty(makeRows: () => MemoryRows) {
-  const fate = fc.constantFrom<CallFate>('ok', 'ok', 'ok', 'ok', 'lost', 'down');
+  const fate = fc.constantFrom<CallOutcome>('ok', 'ok', 'ok', 'ok', 'lost', 'down');
   const change = fc.record({
     name: fc.constantFrom('a', 'b'),
     weight: fc.integer({ min: 1, max: 99 }),
--- a/packages/state/src/decisions/decision-log.ts
+++ b/packages/state/src/decisions/decision-log.ts
@@ -1,6 +1,6 @@
 import { parseJson, parseRequestId } from '@poppypond/core';
 import type { Clock, Milliseconds } from '@poppypond/core';
-import { isSelected } from '@poppypond/objects';
+import { matchesSelector } from '@poppypond/objects';
 import type { Selector } from '@poppypond/objects';
 import { Result } from 'true-myth';
 import type { ObjectStore, StoreFault } from '../table/table-store.js';
@@ -40,7 +40,7 @@
   return (
     decision.wallMs >= query.fromWallMs &&
     decision.wallMs <= query.toWallMs &&
-    isSelected(query.selector, decision.labels)
+    matchesSelector(query.selector, decision.labels)
   );
 }
 
--- a/packages/state/src/lease/lease.test.ts
+++ b/packages/state/src/lease/lease.test.ts
@@ -1,6 +1,6 @@
 import { newOwner } from '@poppypond/core';
 import { ManualClock, MemoryRows, MemoryTable, UncheckedRows } from '@poppypond/mocks';
-import type { CallFate } from '@poppypond/mocks';
+import type { CallOutcome } from '@poppypond/mocks';
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
 import { Lease } from './lease.js';
@@ -11,7 +11,7 @@
 const step = fc.record({
   host: fc.integer({ min: 0, max: 2 }),
   kind: fc.constantFrom('tick', 'tick', 'tick', 'pause', 'release'),
-  fate: fc.constantFrom<CallFate>('ok', 'ok', 'ok', 'down', 'lost'),
+  fate: fc.constantFrom<CallOutcome>('ok', 'ok', 'ok', 'down', 'lost'),
   byMs: fc.integer({ min: 0, max: 700 }),
 });
 
@@ -20,7 +20,7 @@
   return fc.asyncProperty(fc.array(step, { maxLength: 60 }), async (steps) => {
     const rows = makeRows();
     const clock = new ManualClock();
-    let fate: CallFate = 'ok';
+    let fate: CallOutcome = 'ok';
     const leases = [0, 1, 2].map((host) => {
       const pause = () => delayCall(clock);
       const table = new MemoryTable(rows, () => fate, pause);
--- a/packages/state/src/lease/lease.ts
+++ b/packages/state/src/lease/lease.ts
@@ -1,4 +1,4 @@
-import { ownerText } from '@poppypond/core';
+import { formatOwner } from '@poppypond/core';
 import type { Clock, Milliseconds, Owner } from '@poppypond/core';
 import { z } from 'zod';
 import type { TableStore } from '../table/table-store.js';
@@ -66,7 +66,7 @@
     if (row.isErr) return;
     const version = row.value?.version ?? 0;
     const current = row.value ? leaseRowSchema.parse(row.value.value) : undefined;
-    if (current?.holder === ownerText(this.owner)) return this.#write(version, current);
+    if (current?.holder === formatOwner(this.owner)) return this.#write(version, current);
     this.#held = undefined;
     if (this.#isAvailable(version, current)) return this.#write(version, current);
   }
@@ -91,7 +91,7 @@
   }
 
   async #write(version: number, row: LeaseRow | undefined): Promise<void> {
-    const isRenewal = row?.holder === ownerText(this.owner) && this.#held !== undefined;
+    const isRenewal = row?.holder === formatOwner(this.owner) && this.#held !== undefined;
     const fence = isRenewal ? row.fence : (row?.fence ?? 0) + 1;
     const sentAtMs = this.clock.monotonicMs();
     const written = await this.table.transact({
@@ -99,7 +99,7 @@
       puts: [
         {
           key: this.#key,
-          value: { holder: ownerText(this.owner), fence, durationMs: this.durationMs },
+          value: { holder: formatOwner(this.owner), fence, durationMs: this.durationMs },
         },
       ],
     });
--- a/packages/state/src/once/at-most-once-ledger.test.ts
+++ b/packages/state/src/once/at-most-once-ledger.test.ts
@@ -1,6 +1,6 @@
 import { newOwner } from '@poppypond/core';
 import { MemoryRows, MemoryTable, ScheduledClock, UncheckedRows } from '@poppypond/mocks';
-import type { CallFate } from '@poppypond/mocks';
+import type { CallOutcome } from '@poppypond/mocks';
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
 import { AtMostOnceLedger } from './at-most-once-ledger.js';
@@ -14,7 +14,7 @@
   readonly answer?: string;
 }
 
-const fate = fc.constantFrom<CallFate>('ok', 'ok', 'ok', 'down', 'lost', 'hang-then-lost');
+const fate = fc.constantFrom<CallOutcome>('ok', 'ok', 'ok', 'down', 'lost', 'hang-then-lost');
 const call = fc.record({
   host: fc.integer({ min: 0, max: 2 }),
   key: fc.constantFrom('k1', 'k2'),
--- a/packages/state/src/once/at-most-once-ledger.ts
+++ b/packages/state/src/once/at-most-once-ledger.ts
@@ -1,4 +1,4 @@
-import { delay, fault, ownerText, randomId } from '@poppypond/core';
+import { delay, fault, formatOwner, randomId } from '@poppypond/core';
 import type { Clock, Fault, Json, Milliseconds, Owner } from '@poppypond/core';
 import { Result } from 'true-myth';
 import { z } from 'zod';
@@ -104,7 +104,7 @@
     const value = {
       state: 'claimed',
       claimId: claim.claimId,
-      owner: ownerText(this.owner),
+      owner: formatOwner(this.owner),
       requestHash,
       wallMs: this.clock.wallMs(),
     };
--- a/packages/state/src/table/platform-connection.ts
+++ b/packages/state/src/table/platform-connection.ts
@@ -1,6 +1,6 @@
 import type { Milliseconds } from '@poppypond/core';
 import { callHttp } from '@poppypond/web';
-import type { HttpCall, HttpReply } from '@poppypond/web';
+import type { HttpCall, HttpResponse } from '@poppypond/web';
 import { Result } from 'true-myth';
 import type { StoreFault } from './table-store.js';
 
@@ -25,7 +25,7 @@
     call: Omit<HttpCall, 'url' | 'timeoutMs'>,
     path: string,
     accepted: readonly number[],
-  ): Promise<Result<HttpReply, StoreFault>> {
+  ): Promise<Result<HttpResponse, StoreFault>> {
     const isWrite = call.method !== 'GET';
     if (isWrite) this.calls.writes += 1;
     else this.calls.reads += 1;
--- a/packages/telemetry/src/bounded-output.test.ts
+++ b/packages/telemetry/src/bounded-output.test.ts
@@ -18,8 +18,8 @@
       droppedLine,
       { linesPerSecond: 10, bufferedCharacters: 1000 },
     );
-    for (let index = 0; index < 20; index += 1) output.line('o\n', 'ordinary');
-    for (let index = 0; index < 5; index += 1) output.line('i\n', 'important');
+    for (let index = 0; index < 20; index += 1) output.writeLine('o\n', 'ordinary');
+    for (let index = 0; index < 5; index += 1) output.writeLine('i\n', 'important');
     await clock.advance(2000);
     const text = written.join('');
     expect(text.match(/o\n/g)).toHaveLength(7);
@@ -39,7 +39,7 @@
       { linesPerSecond: 1000, bufferedCharacters: 100 },
     );
     for (let second = 0; second < 50; second += 1) {
-      for (let index = 0; index < 100; index += 1) output.line('0123456789', 'important');
+      for (let index = 0; index < 100; index += 1) output.writeLine('0123456789', 'important');
       await clock.advance(1000);
     }
     expect(writes).toBe(1);
--- a/packages/telemetry/src/bounded-output.ts
+++ b/packages/telemetry/src/bounded-output.ts
@@ -70,7 +70,7 @@
   }
 
   /** Takes a line, or drops and counts it. */
-  line(text: string, importance: LineImportance): void {
+  writeLine(text: string, importance: LineImportance): void {
     const share = importance === 'ordinary' ? ORDINARY_SHARE : 1;
     const isOver =
       this.#linesThisSecond >= this.limits.linesPerSecond * share ||
--- a/packages/telemetry/src/log.ts
+++ b/packages/telemetry/src/log.ts
@@ -29,7 +29,7 @@
 }
 
 /** `key=value` pairs with quotes where a value holds anything but plain characters. */
-export function lineText(fields: LogFields): string {
+export function formatFields(fields: LogFields): string {
   const parts: string[] = [];
   for (const [key, value] of Object.entries(fields)) {
     if (value !== undefined) parts.push(`${key}=${valueText(value)}`);
@@ -53,7 +53,7 @@
     const { _meta, ...fields } = entry;
     const name = _meta?.logLevelName.toLowerCase();
     const head = { time: _meta?.date.toISOString(), level: name };
-    write(`${lineText({ ...head, ...fields })}\n`, isLogLevel(name) ? name : 'info');
+    write(`${formatFields({ ...head, ...fields })}\n`, isLogLevel(name) ? name : 'info');
   });
   const line = (event: string, fields: LogFields = {}) => ({ event, ...common, ...fields });
   return {
--- a/packages/telemetry/src/measures.test.ts
+++ b/packages/telemetry/src/measures.test.ts
@@ -1,6 +1,6 @@
 import { readdirSync, readFileSync } from 'node:fs';
 import { describe, expect, it } from 'vitest';
-import { Measures, MEASURES } from './measures.js';
+import { PrometheusMetrics, PROMETHEUS_METRICS } from './measures.js';
 
 function relaySources(): string {
   const folder = new URL('../../relay/src/', import.meta.url);
@@ -14,7 +14,7 @@
   it('are all taken by the relay and listed in docs/METRICS.md', () => {
     const sources = relaySources();
     const page = readFileSync(new URL('../../../docs/METRICS.md', import.meta.url), 'utf8');
-    for (const [name, { type, help, labels }] of Object.entries(MEASURES)) {
+    for (const [name, { type, help, labels }] of Object.entries(PROMETHEUS_METRICS)) {
       expect(sources, name).toContain(`'${name}'`);
       const row = page.split('\n').find((line) => line.startsWith(`| \`${name}\``));
       for (const part of [type, help, ...labels]) expect(row, name).toContain(part);
@@ -22,7 +22,7 @@
   });
 
   it('are told as Prometheus text', async () => {
-    const measures = new Measures();
+    const measures = new PrometheusMetrics();
     measures.count('poppypond_requests_total', { kind: 'safe', code: 'ok' });
     measures.observe('poppypond_call_milliseconds', 7, { kind: 'safe' });
     measures.set('poppypond_peers', 3);
--- a/packages/telemetry/src/measures.ts
+++ b/packages/telemetry/src/measures.ts
@@ -7,7 +7,7 @@
 }
 
 /** What a relay counts, for its metrics address. Names and labels are stable; docs/METRICS.md. */
-export const MEASURES = {
+export const PROMETHEUS_METRICS = {
   poppypond_requests_total: {
     type: 'counter',
     help: 'Requests answered, by route kind and result code.',
@@ -123,24 +123,26 @@
 } as const satisfies Record<string, MeasureEntry>;
 
 type MeasuresOf<Type extends MeasureEntry['type']> = {
-  [Name in keyof typeof MEASURES]: (typeof MEASURES)[Name]['type'] extends Type ? Name : never;
-}[keyof typeof MEASURES];
+  [Name in keyof typeof PROMETHEUS_METRICS]: (typeof PROMETHEUS_METRICS)[Name]['type'] extends Type
+    ? Name
+    : never;
+}[keyof typeof PROMETHEUS_METRICS];
 
 /** Label values by label name. */
-export type MeasureLabels = Readonly<Record<string, string>>;
+export type PrometheusLabels = Readonly<Record<string, string>>;
 
 /** Milliseconds; the figures of today's objectives are bounds, so that shares can be read off. */
 const BUCKETS_MS = [5, 10, 25, 50, 100, 150, 200, 300, 500, 800, 1500, 3000, 5000, 10_000, 15_000];
 
 /** Counts and measures of one process, read as Prometheus text. */
-export class Measures {
+export class PrometheusMetrics {
   readonly #registry = new Registry();
   readonly #counters = new Map<string, Counter>();
   readonly #gauges = new Map<string, Gauge>();
   readonly #histograms = new Map<string, Histogram>();
 
   constructor() {
-    for (const [name, { type, help, labels }] of Object.entries(MEASURES)) {
+    for (const [name, { type, help, labels }] of Object.entries(PROMETHEUS_METRICS)) {
       const options = { name, help, labelNames: [...labels], registers: [this.#registry] };
       if (type === 'counter') this.#counters.set(name, new Counter(options));
       else if (type === 'gauge') this.#gauges.set(name, new Gauge(options));
@@ -148,7 +150,7 @@
     }
   }
 
-  count(name: MeasuresOf<'counter'>, labels: MeasureLabels, by = 1): void {
+  count(name: MeasuresOf<'counter'>, labels: PrometheusLabels, by = 1): void {
     this.#counters.get(name)?.inc({ ...labels }, by);
   }
 
@@ -157,14 +159,14 @@
   }
 
   /** Sets a gauge for each value of its one label, and drops all others. */
-  setEach(name: MeasuresOf<'gauge'>, values: ReadonlyMap<string, number>): void {
+  replaceSeries(name: MeasuresOf<'gauge'>, values: ReadonlyMap<string, number>): void {
     const gauge = this.#gauges.get(name);
-    const [label = ''] = MEASURES[name].labels;
+    const [label = ''] = PROMETHEUS_METRICS[name].labels;
     gauge?.reset();
     for (const [labelled, value] of values) gauge?.set({ [label]: labelled }, value);
   }
 
-  observe(name: MeasuresOf<'histogram'>, milliseconds: number, labels: MeasureLabels): void {
+  observe(name: MeasuresOf<'histogram'>, milliseconds: number, labels: PrometheusLabels): void {
     this.#histograms.get(name)?.observe({ ...labels }, milliseconds);
   }
 
--- a/packages/web/src/client.ts
+++ b/packages/web/src/client.ts
@@ -25,11 +25,11 @@
    * Takes a new connection. A kept one may be closed by the other side at the moment it is used,
    * and then nobody knows whether the call arrived.
    */
-  readonly isFresh?: boolean;
+  readonly usesNewConnection?: boolean;
 }
 
 /** A whole answer. */
-export interface HttpReply {
+export interface HttpResponse {
   readonly status: number;
   readonly headers: IncomingMessage['headers'];
   readonly body: string;
@@ -63,7 +63,7 @@
     const start = isTls ? startHttps : startHttp;
     const outgoing = start(call.url, {
       method: call.method,
-      agent: call.isFresh ? false : isTls ? tlsAgent : agent,
+      agent: call.usesNewConnection ? false : isTls ? tlsAgent : agent,
       headers: {
         ...(call.body === undefined ? {} : { 'content-length': Buffer.byteLength(call.body) }),
         ...call.headers,
@@ -98,7 +98,7 @@
 }
 
 /** Makes a call and reads the whole answer. */
-export async function callHttp(call: HttpCall): Promise<Result<HttpReply, TransportFault>> {
+export async function callHttp(call: HttpCall): Promise<Result<HttpResponse, TransportFault>> {
   const started = performance.now();
   const opened = await openHttp(call);
   if (opened.isErr) return Result.err(opened.error);
--- a/packages/web/src/reply.ts
+++ b/packages/web/src/reply.ts
@@ -5,14 +5,14 @@
 const MILLISECONDS_PER_SECOND = 1000;
 
 /** Headers of a reply. */
-export type ReplyHeaders = Readonly<Record<string, string>>;
+export type ResponseHeaders = Readonly<Record<string, string>>;
 
 /** Answers with JSON. Does nothing if the answer has begun or the connection is gone. */
 export function sendJson(
   response: ServerResponse,
   status: number,
   body: Json,
-  headers: ReplyHeaders = {},
+  headers: ResponseHeaders = {},
 ): void {
   if (response.headersSent || response.destroyed) return;
   const text = JSON.stringify(body);
@@ -47,7 +47,7 @@
   response: ServerResponse,
   fault: Fault,
   requestId?: string,
-  headers: ReplyHeaders = {},
+  headers: ResponseHeaders = {},
 ): void {
   const retryAfter =
     fault.retryAfterMs === undefined
--- a/packages/web/src/server-state.test.ts
+++ b/packages/web/src/server-state.test.ts
@@ -1,7 +1,7 @@
 import { SystemClock } from '@poppypond/core';
 import { createServer } from 'node:net';
 import { describe, expect, it } from 'vitest';
-import { askServerState } from './server-state.js';
+import { probeServer } from './server-state.js';
 
 describe('askServerState', () => {
   it('tells a process that listens from one that has ended, whatever became of its connections', async () => {
@@ -10,8 +10,8 @@
     const bound = listening.address();
     const port = typeof bound === 'object' && bound ? bound.port : 0;
     const server = { address: '127.0.0.1', port };
-    expect(await askServerState(new SystemClock(), server)).toBe('listening');
+    expect(await probeServer(new SystemClock(), server)).toBe('listening');
     await new Promise((resolve) => listening.close(resolve));
-    expect(await askServerState(new SystemClock(), server)).toBe('refused');
+    expect(await probeServer(new SystemClock(), server)).toBe('refused');
   });
 });
