--- a/packages/admin/src/audit/app.ts
+++ b/packages/admin/src/audit/app.ts
@@ -10,19 +10,19 @@
 const MAX_ROWS = 1000;
 const WATCH_PERIOD_MS = 500;
 
-function isWanted(row: AuditRow, query: URLSearchParams): boolean {
+function matchesQuery(row: AuditRow, query: URLSearchParams): boolean {
   const object = query.get('object');
   const operator = query.get('operator');
   const selector = parseSelector(query.get('selector') ?? '') ?? [];
-  const isObject = object === null || row.changes.some((change) => change.id === object);
-  const isOperator = operator === null || row.operator === operator;
-  const isInTime =
+  const hasObject = object === null || row.changes.some((change) => change.id === object);
+  const hasOperator = operator === null || row.operator === operator;
+  const isInTimeRange =
     row.wallMs >= Number(query.get('from') ?? 0) &&
     row.wallMs <= Number(query.get('to') ?? Number.POSITIVE_INFINITY);
-  const isLabelled = row.changes.some((change) =>
+  const hasSelectedLabels = row.changes.some((change) =>
     matchesSelector(selector, (change.after ?? change.before)?.labels ?? {}),
   );
-  return isObject && isOperator && isInTime && isLabelled;
+  return hasObject && hasOperator && isInTimeRange && hasSelectedLabels;
 }
 
 async function listAudit(context: AdminContext, route: RouteContext): Promise<void> {
@@ -35,7 +35,7 @@
   if (rows.isErr) return sendFault(response, fault('store_down', rows.error.detail));
   const wanted = rows.value
     .map((row) => auditRowSchema.parse(row.value))
-    .filter((row) => isWanted(row, query))
+    .filter((row) => matchesQuery(row, query))
     .slice(-MAX_ROWS);
   sendJson(response, 200, { rows: wanted.map((row) => ({ ...row })) });
 }
--- a/packages/admin/src/fleet/app.ts
+++ b/packages/admin/src/fleet/app.ts
@@ -6,8 +6,8 @@
 import { guard } from '../access/guard.js';
 import type { AdminContext } from '../context.js';
 
-const ASK_TIMEOUT_MS = 2000;
-const WAIT_PERIOD_MS = 50;
+const GATEWAY_TIMEOUT_MS = 2000;
+const POLL_PERIOD_MS = 50;
 const DEFAULT_WAIT_MS = 10_000;
 
 const statusSchema = z.looseObject({
@@ -26,53 +26,59 @@
   readonly status: z.infer<typeof statusSchema> | undefined;
 }
 
-async function askHost(url: string): Promise<HostStatus> {
-  const reply = await callHttp({ method: 'GET', url: `${url}/status`, timeoutMs: ASK_TIMEOUT_MS });
+async function fetchHostStatus(url: string): Promise<HostStatus> {
+  const reply = await callHttp({
+    method: 'GET',
+    url: `${url}/status`,
+    timeoutMs: GATEWAY_TIMEOUT_MS,
+  });
   if (reply.isErr) return { url, status: undefined };
   const parsed = statusSchema.safeParse(parseJson(reply.value.body));
   return { url, status: parsed.success ? parsed.data : undefined };
 }
 
 /** Asks every host that can be found from the gateways in the settings. */
-async function askFleet(gateways: readonly string[]): Promise<readonly HostStatus[]> {
-  const first = await Promise.all(gateways.map(askHost));
-  const asked = new Set(gateways);
+async function fetchFleetStatus(gateways: readonly string[]): Promise<readonly HostStatus[]> {
+  const gatewayStatuses = await Promise.all(gateways.map(fetchHostStatus));
+  const gatewayUrls = new Set(gateways);
   const others = new Set(
-    first.flatMap(({ status }) => status?.peers.map((peer) => peer.callerUrl) ?? []),
+    gatewayStatuses.flatMap(({ status }) => status?.peers.map((peer) => peer.callerUrl) ?? []),
   );
-  const rest = [...others].filter((url) => !asked.has(url));
-  return [...first, ...(await Promise.all(rest.map(askHost)))];
+  const peerUrls = [...others].filter((url) => !gatewayUrls.has(url));
+  return [...gatewayStatuses, ...(await Promise.all(peerUrls.map(fetchHostStatus)))];
 }
 
-function hostLine({ url, status }: HostStatus) {
+function summarizeHost({ url, status }: HostStatus) {
   if (!status) return { url, state: 'unreachable' };
   const { host, zone, state, revision, inProgress, waiting } = status;
   return { url, host, zone, state, revision, inProgress, waiting };
 }
 
 async function showStatus(context: AdminContext, route: RouteContext): Promise<void> {
-  const hosts = await askFleet(context.settings.gateways);
+  const hosts = await fetchFleetStatus(context.settings.gateways);
   const { revision } = context.reader.holder.current;
-  sendJson(route.response, 200, { revision, hosts: hosts.map(hostLine) });
+  sendJson(route.response, 200, { revision, hosts: hosts.map(summarizeHost) });
 }
 
 /** Answers when every live host has the revision in force, or when the time is up. */
 async function waitForRevision(context: AdminContext, route: RouteContext): Promise<void> {
   const wanted = Number(route.params['revision']);
   const timeoutMs: Milliseconds = Number(route.query.get('timeout') ?? DEFAULT_WAIT_MS);
-  const until = context.clock.monotonicMs() + timeoutMs;
+  const deadlineMs = context.clock.monotonicMs() + timeoutMs;
   for (;;) {
-    const hosts = (await askFleet(context.settings.gateways)).filter(({ status }) => status);
+    const hosts = (await fetchFleetStatus(context.settings.gateways)).filter(
+      ({ status }) => status,
+    );
     const behind = hosts.filter(({ status }) => (status?.revision ?? 0) < wanted);
     if (hosts.length > 0 && behind.length === 0) {
-      return sendJson(route.response, 200, { revision: wanted, hosts: hosts.map(hostLine) });
+      return sendJson(route.response, 200, { revision: wanted, hosts: hosts.map(summarizeHost) });
     }
-    if (context.clock.monotonicMs() > until) {
+    if (context.clock.monotonicMs() > deadlineMs) {
       const names = behind.map(({ url }) => url).join(' ');
       return sendFault(route.response, fault('wait_timeout', `behind: ${names}`));
     }
     await new Promise<void>((resolve) => {
-      context.clock.after(WAIT_PERIOD_MS, resolve);
+      context.clock.after(POLL_PERIOD_MS, resolve);
     });
   }
 }
@@ -85,7 +91,7 @@
       method: 'GET',
       url: `${gateway}${path}`,
       headers: { authorization },
-      timeoutMs: ASK_TIMEOUT_MS,
+      timeoutMs: GATEWAY_TIMEOUT_MS,
     });
     if (reply.isErr) continue;
     route.response.writeHead(reply.value.status, { 'content-type': 'application/json' });
--- a/packages/admin/src/objects/app.ts
+++ b/packages/admin/src/objects/app.ts
@@ -38,7 +38,7 @@
 
 type ApplyBody = z.infer<typeof applySchema>;
 
-function storedJson({ object, revision }: StoredObject): Json {
+function toJson({ object, revision }: StoredObject): Json {
   return { ...object, revision };
 }
 
@@ -56,35 +56,42 @@
     .all()
     .filter(({ object }) => kind === null || object.kind === kind)
     .filter(({ object }) => matchesSelector(selector, object.labels));
-  sendJson(route.response, 200, { revision: current.revision, objects: objects.map(storedJson) });
+  sendJson(route.response, 200, { revision: current.revision, objects: objects.map(toJson) });
 }
 
 function getObject(context: AdminContext, route: RouteContext): void {
   const id = `${route.params['kind'] ?? ''}/${route.params['name'] ?? ''}`;
   const stored = context.reader.holder.current.objects.get(id);
   if (!stored) return sendFault(route.response, fault('not_found', id));
-  sendJson(route.response, 200, storedJson(stored));
+  sendJson(route.response, 200, toJson(stored));
 }
 
-function writesOf(body: ApplyBody, objects: readonly ConfigObject[]): readonly ObjectWrite[] {
-  const expectedOf = (id: string) => {
+function toWrites(body: ApplyBody, objects: readonly ConfigObject[]): readonly ObjectWrite[] {
+  const expectedRevisionOf = (id: string) => {
     const expected = body.expected[id];
     return expected === undefined ? {} : { expected };
   };
   const puts = objects.map((object) => {
     const id = objectId(object);
-    return { id, after: object, ...expectedOf(id) };
+    return { id, after: object, ...expectedRevisionOf(id) };
   });
-  return [...puts, ...body.deletes.map((id) => ({ id, after: null, ...expectedOf(id) }))];
+  return [...puts, ...body.deletes.map((id) => ({ id, after: null, ...expectedRevisionOf(id) }))];
 }
 
-function afterWrites(current: Configuration, writes: readonly ObjectWrite[]): Configuration {
+function previewConfiguration(
+  current: Configuration,
+  writes: readonly ObjectWrite[],
+): Configuration {
   const revision = current.revision + 1;
   const changes: readonly ObjectChange[] = writes.map(({ id, after }) => ({ id, after, revision }));
   return current.advance(changes);
 }
 
-function findForbidden(current: Configuration, operator: Operator, writes: readonly ObjectWrite[]) {
+function findForbiddenWrite(
+  current: Configuration,
+  operator: Operator,
+  writes: readonly ObjectWrite[],
+) {
   for (const { id, after } of writes) {
     const before = current.objects.get(id)?.object;
     const problem = checkMayChange(operator, before, after ?? undefined);
@@ -102,12 +109,12 @@
   objects: readonly ConfigObject[],
 ): Promise<void> {
   const { current } = context.reader.holder;
-  const writes = writesOf(body, objects);
+  const writes = toWrites(body, objects);
   const missing = body.deletes.find((id) => !current.objects.has(id));
   if (missing !== undefined) return sendFault(route.response, fault('not_found', missing));
-  const forbidden = findForbidden(current, operator, writes);
+  const forbidden = findForbiddenWrite(current, operator, writes);
   if (forbidden) return sendFault(route.response, forbidden);
-  const warnings = findWarnings(objects, afterWrites(current, writes));
+  const warnings = findWarnings(objects, previewConfiguration(current, writes));
   const diff = writes.map(({ id, after }) => ({
     id,
     fields: diffObjects(current.objects.get(id)?.object ?? null, after).map((f) => ({ ...f })),
--- a/packages/cli/src/api.ts
+++ b/packages/cli/src/api.ts
@@ -10,7 +10,7 @@
 }
 
 const TIMEOUT_MS = 60_000;
-const LEAST_ERROR_STATUS = 400;
+const MIN_ERROR_STATUS = 400;
 
 const errorSchema = z.object({
   error: z.object({ code: z.string(), message: z.string(), number: z.number() }),
@@ -32,7 +32,7 @@
   });
   if (reply.isErr) return Result.err(`${access.url}: ${reply.error.detail}`);
   const value = parseJson(reply.value.body);
-  if (reply.value.status < LEAST_ERROR_STATUS) return Result.ok(value);
+  if (reply.value.status < MIN_ERROR_STATUS) return Result.ok(value);
   const parsed = errorSchema.safeParse(value);
   if (!parsed.success) return Result.err(`status ${String(reply.value.status)}`);
   const { code, number, message } = parsed.data.error;
--- a/packages/cli/src/commands.ts
+++ b/packages/cli/src/commands.ts
@@ -17,7 +17,7 @@
   return Array.isArray(parsed.data) ? parsed.data : parsed.data.objects;
 }
 
-function query(values: Readonly<Record<string, string | undefined>>): string {
+function buildQuery(values: Readonly<Record<string, string | undefined>>): string {
   const search = new URLSearchParams();
   for (const [key, value] of Object.entries(values)) {
     if (value !== undefined) search.set(key, value);
@@ -38,7 +38,7 @@
   });
 
   override async execute(): Promise<number> {
-    const path = `/v1/objects?${query({ kind: this.kind, selector: this.selector })}`;
+    const path = `/v1/objects?${buildQuery({ kind: this.kind, selector: this.selector })}`;
     return this.show(await this.call('GET', path), objectsReply, formatObjects);
   }
 }
@@ -108,7 +108,7 @@
 
   override async execute(): Promise<number> {
     if (this.why === undefined) return this.usage('--why: say why');
-    const path = `/v1/objects/${this.id}?${query({ why: this.why })}`;
+    const path = `/v1/objects/${this.id}?${buildQuery({ why: this.why })}`;
     return this.show(await this.call('DELETE', path), applyReply, formatApply);
   }
 }
@@ -128,18 +128,18 @@
   readonly to = Option.String('--to', { description: 'ISO time' });
 
   override async execute(): Promise<number> {
-    const path = `/v1/audit?${query({
+    const path = `/v1/audit?${buildQuery({
       object: this.object,
       operator: this.operator,
       selector: this.selector,
-      from: toMilliseconds(this.from),
-      to: toMilliseconds(this.to),
+      from: toUnixMs(this.from),
+      to: toUnixMs(this.to),
     })}`;
     return this.show(await this.call('GET', path), auditReply, formatAudit);
   }
 }
 
-function toMilliseconds(time: string | undefined): string | undefined {
+function toUnixMs(time: string | undefined): string | undefined {
   return time === undefined ? undefined : String(Date.parse(time));
 }
 
@@ -177,10 +177,10 @@
       return this.usage('explain: give a request or --selector');
     }
     const { selector, request } = this;
-    const range = { from: toMilliseconds(this.from), to: toMilliseconds(this.to) };
+    const range = { from: toUnixMs(this.from), to: toUnixMs(this.to) };
     const path =
       request === undefined
-        ? `/v1/explain?${query({ selector, ...range })}`
+        ? `/v1/explain?${buildQuery({ selector, ...range })}`
         : `/v1/explain/${encodeURIComponent(request)}`;
     return this.show(await this.call('GET', path), explainReply, formatExplain);
   }
--- a/packages/cli/src/format.ts
+++ b/packages/cli/src/format.ts
@@ -8,7 +8,7 @@
 }
 
 /** Lines of columns, padded to the widest entry of each. */
-function columns(rows: readonly (readonly string[])[]): string {
+function formatTable(rows: readonly (readonly string[])[]): string {
   const widths: number[] = [];
   for (const row of rows) {
     row.forEach((cell, index) => {
@@ -33,7 +33,7 @@
     String(revision),
     labelsText(labels),
   ]);
-  return columns([['KIND', 'NAME', 'REVISION', 'LABELS'], ...rows]);
+  return formatTable([['KIND', 'NAME', 'REVISION', 'LABELS'], ...rows]);
 }
 
 /** The differences of a change, and its warnings. */
@@ -57,7 +57,7 @@
       return [String(revision), new Date(wallMs).toISOString(), operator, what, id, why];
     }),
   );
-  return columns([['REVISION', 'TIME', 'OPERATOR', 'WHAT', 'OBJECT', 'WHY'], ...rows]);
+  return formatTable([['REVISION', 'TIME', 'OPERATOR', 'WHAT', 'OBJECT', 'WHY'], ...rows]);
 }
 
 /** The hosts and the revision in force on each. */
@@ -70,8 +70,8 @@
     String(host.inProgress ?? ''),
     String(host.waiting ?? ''),
   ]);
-  const head = ['HOST', 'ZONE', 'STATE', 'REVISION', 'IN-PROGRESS', 'WAITING'];
-  return `newest revision ${String(reply.revision)}\n${columns([head, ...rows])}`;
+  const header = ['HOST', 'ZONE', 'STATE', 'REVISION', 'IN-PROGRESS', 'WAITING'];
+  return `newest revision ${String(reply.revision)}\n${formatTable([header, ...rows])}`;
 }
 
 /** Decisions for a person: what was chosen, by which rule, on what state, over what. */
--- a/packages/cli/src/log-lines.ts
+++ b/packages/cli/src/log-lines.ts
@@ -6,16 +6,16 @@
 const PAIR = /([a-z_]+)=("(?:[^"\\]|\\.)*"|\S+)/g;
 
 /** Reads a line of key=value pairs; whatever stands before the first pair is passed over. */
-export function readLine(text: string): LogLine {
+export function parseLine(text: string): LogLine {
   const pairs = [...text.matchAll(PAIR)].map(([, key = '', value = '']) => {
-    const plain = value.startsWith('"') ? value.slice(1, -1).replaceAll('\\"', '"') : value;
-    return [key, plain] as const;
+    const unquoted = value.startsWith('"') ? value.slice(1, -1).replaceAll('\\"', '"') : value;
+    return [key, unquoted] as const;
   });
   return Object.fromEntries(pairs);
 }
 
 /** Order of two lines by the time at which they were written. */
-export function byTime(left: LogLine, right: LogLine): number {
+export function compareByTime(left: LogLine, right: LogLine): number {
   return (left['time'] ?? '').localeCompare(right['time'] ?? '');
 }
 
@@ -25,6 +25,6 @@
     readFileSync(file, 'utf8')
       .split('\n')
       .filter((text) => text.includes('event='))
-      .map(readLine),
+      .map(parseLine),
   );
 }
--- a/packages/cli/src/loss-cause.ts
+++ b/packages/cli/src/loss-cause.ts
@@ -25,10 +25,10 @@
   readonly end: LogLine | undefined;
 }
 
-const LEFT_CODES: ReadonlySet<string> = new Set(['cancelled_running', 'cancelled_waiting']);
-const UNPROVED = 'the configuration may be out of date';
-const ALL_REST = 'all servers of the service want rest';
-const ALL_LIMITED = 'all servers of the service name limits';
+const CANCELLED_CODES: ReadonlySet<string> = new Set(['cancelled_running', 'cancelled_waiting']);
+const UNCONFIRMED_CONFIGURATION = 'the configuration may be out of date';
+const ALL_IN_BACKOFF = 'all servers of the service want rest';
+const ALL_RATE_LIMITED = 'all servers of the service name limits';
 
 function numberOf(line: LogLine | undefined, key: string): number | undefined {
   const text = line?.[key];
@@ -50,9 +50,9 @@
   const firstEventMs = numberOf(end, 'first_event_ms') ?? 0;
   const isRetried = (numberOf(end, 'attempts') ?? 1) > 1;
   const pauseMs = numberOf(end, 'longest_pause_ms') ?? 0;
-  const pauseAimMs = numberOf(end, 'pause_aim_ms') ?? Number.POSITIVE_INFINITY;
+  const gapAimMs = numberOf(end, 'pause_aim_ms') ?? Number.POSITIVE_INFINITY;
   const isLate = firstEventMs > aimMs;
-  if (!isLate && pauseMs <= pauseAimMs) return 'in_time';
+  if (!isLate && pauseMs <= gapAimMs) return 'in_time';
   if (isRetried) return 'late_after_a_failed_attempt';
   return isLate ? causeOfLateStart(placed, firstEventMs, aimMs) : 'late_by_a_pause';
 }
@@ -61,13 +61,15 @@
 export function lossCause({ placed, end }: RequestLines): LossCause {
   if (!end) return 'lost_with_its_host';
   if (end['event'] === 'refused') {
-    return end['why'] === UNPROVED ? 'refused_for_an_unproved_configuration' : 'refused';
+    return end['why'] === UNCONFIRMED_CONFIGURATION
+      ? 'refused_for_an_unproved_configuration'
+      : 'refused';
   }
   const code = end['code'] ?? '';
   if (code === 'quarantined') return 'held_back_as_servers_ended';
-  if (end['why'] === ALL_REST) return 'refused_as_servers_rest';
-  if (end['why']?.startsWith(ALL_LIMITED)) return 'refused_as_servers_limited';
-  if (LEFT_CODES.has(code)) return 'left_by_its_caller';
+  if (end['why'] === ALL_IN_BACKOFF) return 'refused_as_servers_rest';
+  if (end['why']?.startsWith(ALL_RATE_LIMITED)) return 'refused_as_servers_limited';
+  if (CANCELLED_CODES.has(code)) return 'left_by_its_caller';
   if (code !== 'ok') return 'failed';
   const aimMs = numberOf(end, 'aim_ms') ?? Number.POSITIVE_INFINITY;
   if (end['tokens'] !== undefined) return causeOfStream(placed, end, aimMs);
--- a/packages/cli/src/losses.test.ts
+++ b/packages/cli/src/losses.test.ts
@@ -1,12 +1,12 @@
 import { describe, expect, it } from 'vitest';
 import { lossCause } from './loss-cause.js';
-import { readLine } from './log-lines.js';
-import { divideLosses } from './losses.js';
+import { parseLine } from './log-lines.js';
+import { countLosses } from './losses.js';
 
-const PLACED = readLine('event=placed request=r tokens=5000 waited_ms=10 expected_ms=100');
+const PLACED = parseLine('event=placed request=r tokens=5000 waited_ms=10 expected_ms=100');
 
 function answered(more: string) {
-  return readLine(
+  return parseLine(
     `event=answered request=r code=ok aim_ms=300 pause_aim_ms=200 tokens=5000 attempts=1 ${more}`,
   );
 }
@@ -29,7 +29,7 @@
       'late_after_a_failed_attempt',
     );
     const unproved = 'event=refused code=not_ready why="the configuration may be out of date"';
-    expect(lossCause({ placed: undefined, end: readLine(unproved) })).toBe(
+    expect(lossCause({ placed: undefined, end: parseLine(unproved) })).toBe(
       'refused_for_an_unproved_configuration',
     );
     expect(lossCause({ placed: PLACED, end: { ...late, code: 'cancelled_running' } })).toBe(
@@ -40,12 +40,12 @@
       'held_back_as_servers_ended',
     );
     const resting = 'event=answered code=no_backend why="all servers of the service want rest"';
-    expect(lossCause({ placed: undefined, end: readLine(resting) })).toBe(
+    expect(lossCause({ placed: undefined, end: parseLine(resting) })).toBe(
       'refused_as_servers_rest',
     );
     const limited =
       'event=answered code=no_backend why="all servers of the service name limits: 2 servers take 4.0 a second"';
-    expect(lossCause({ placed: undefined, end: readLine(limited) })).toBe(
+    expect(lossCause({ placed: undefined, end: parseLine(limited) })).toBe(
       'refused_as_servers_limited',
     );
   });
@@ -59,8 +59,8 @@
       'time=2026-01-01T00:00:12.000Z event=placed request=c tokens=0',
       'time=2026-01-01T00:00:12.000Z event=answered request=c code=ok took_ms=20 aim_ms=100',
       'time=2026-01-01T00:00:13.000Z event=refused request=d code=unauthenticated',
-    ].map(readLine);
-    expect(divideLosses(lines, 10)).toEqual([
+    ].map(parseLine);
+    expect(countLosses(lines, 10)).toEqual([
       { from: '2026-01-01T00:00:00.000Z', size: 'long', cause: 'lost_with_its_host', requests: 1 },
       { from: '2026-01-01T00:00:00.000Z', size: 'short', cause: 'lost_with_its_host', requests: 1 },
       { from: '2026-01-01T00:00:10.000Z', size: 'call', cause: 'in_time', requests: 1 },
--- a/packages/cli/src/losses.ts
+++ b/packages/cli/src/losses.ts
@@ -3,7 +3,7 @@
 import { Command, Option } from 'clipanion';
 import { lossCause } from './loss-cause.js';
 import type { LossCause } from './loss-cause.js';
-import { byTime, readLogs } from './log-lines.js';
+import { compareByTime, readLogs } from './log-lines.js';
 import type { LogLine } from './log-lines.js';
 
 /** Requests of one size that ended alike within one span of time. */
@@ -17,7 +17,7 @@
 
 const MS_PER_SECOND = 1000;
 /** Answers to callers that asked for what they may not have are no losses. */
-const NOT_OWED_CODES: ReadonlySet<string> = new Set([
+const CLIENT_ERROR_CODES: ReadonlySet<string> = new Set([
   'unauthenticated',
   'unknown_route',
   'bad_field',
@@ -28,16 +28,19 @@
   return tokens === 0 ? 'call' : promptSizeOf(tokens);
 }
 
-function spanOf(line: LogLine, everySeconds: number): string {
-  const spanMs = everySeconds * MS_PER_SECOND;
-  const startMs = Math.floor(Date.parse(line['time'] ?? '') / spanMs) * spanMs;
+function intervalStart(line: LogLine, intervalSeconds: number): string {
+  const intervalMs = intervalSeconds * MS_PER_SECOND;
+  const startMs = Math.floor(Date.parse(line['time'] ?? '') / intervalMs) * intervalMs;
   return new Date(startMs).toISOString();
 }
 
 /** Divides all requests of the logs by span of time, size and cause, in that order. */
-export function divideLosses(lines: readonly LogLine[], everySeconds: number): readonly LossRow[] {
+export function countLosses(
+  lines: readonly LogLine[],
+  intervalSeconds: number,
+): readonly LossRow[] {
   const byRequest = new Map<string, { placed?: LogLine; end?: LogLine; first: LogLine }>();
-  for (const line of [...lines].sort(byTime)) {
+  for (const line of [...lines].sort(compareByTime)) {
     const { request, event } = line;
     if (request === undefined) continue;
     const known = byRequest.get(request) ?? { first: line };
@@ -47,8 +50,8 @@
   }
   const counts = new Map<string, LossRow>();
   for (const { placed, end, first } of byRequest.values()) {
-    if (NOT_OWED_CODES.has(end?.['code'] ?? '')) continue;
-    const from = spanOf(first, everySeconds);
+    if (CLIENT_ERROR_CODES.has(end?.['code'] ?? '')) continue;
+    const from = intervalStart(first, intervalSeconds);
     const size = sizeOf(placed, end);
     const cause = lossCause({ placed, end });
     const key = `${from} ${size} ${cause}`;
@@ -73,12 +76,12 @@
   readonly every = Option.String('--every', '10', { description: 'span of time in seconds' });
 
   override execute(): Promise<number> {
-    const everySeconds = Number(this.every);
-    if (!(everySeconds > 0)) {
+    const intervalSeconds = Number(this.every);
+    if (!(intervalSeconds > 0)) {
       this.context.stderr.write('--every: not a number of seconds above 0\n');
       return Promise.resolve(1);
     }
-    for (const row of divideLosses(readLogs(this.logs), everySeconds)) {
+    for (const row of countLosses(readLogs(this.logs), intervalSeconds)) {
       const { from, size, cause, requests } = row;
       this.context.stdout.write(
         `${from}  ${size.padEnd(6)}  ${String(requests).padStart(6)}  ${cause}\n`,
--- a/packages/cli/src/why.test.ts
+++ b/packages/cli/src/why.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest';
-import { readLine } from './log-lines.js';
-import { storyOf } from './why.js';
+import { parseLine } from './log-lines.js';
+import { buildTimeline } from './why.js';
 
 const LOG = `
   8.7036 h-2 time=2026-01-01T00:00:04.000Z level=warn event=refused host=h-2 request=r1 code=unauthenticated why="the key is not known" configuration=17 configuration_age_ms=454
@@ -13,7 +13,7 @@
 describe('poppypond why', () => {
   const lines = LOG.split('\n')
     .filter((text) => text !== '')
-    .map(readLine);
+    .map(parseLine);
 
   it('reads pairs with and without quotes', () => {
     expect(lines[0]).toMatchObject({
@@ -24,11 +24,11 @@
   });
 
   it('tells the story of one request with what its host had in force', () => {
-    expect(storyOf(lines, 'r1')).toEqual([
+    expect(buildTimeline(lines, 'r1')).toEqual([
       '2026-01-01T00:00:03.000Z  h-2  configuration_in_force  version=17 before=14',
       '2026-01-01T00:00:04.000Z  h-2  refused  code=unauthenticated why=the key is not known configuration=17 configuration_age_ms=454',
     ]);
-    expect(storyOf(lines, 'r3')).toEqual([]);
+    expect(buildTimeline(lines, 'r3')).toEqual([]);
   });
 
   it('tells which servers had said that they leave, want rest or name a limit, while that holds', () => {
@@ -41,8 +41,8 @@
       'time=2026-01-01T00:00:01.000Z event=server_limit host=h-1 server=i-6 change=named per_second=2',
       'time=2026-01-01T00:00:03.000Z event=server_limit host=h-1 server=i-6 change=over per_second=2',
       'time=2026-01-01T00:00:04.000Z event=answered host=h-1 request=r code=no_backend',
-    ].map(readLine);
-    expect(storyOf(told, 'r').map((line) => line.split('  ').slice(2).join(' '))).toEqual([
+    ].map(parseLine);
+    expect(buildTimeline(told, 'r').map((line) => line.split('  ').slice(2).join(' '))).toEqual([
       'server_leaving server=i-4 listed=ready',
       'server_limit server=i-5 change=named per_second=2',
       'server_rests server=i-2 for_ms=3000',
--- a/packages/controller/src/cleanup/cleanup.ts
+++ b/packages/controller/src/cleanup/cleanup.ts
@@ -4,7 +4,7 @@
 const DECISIONS_PREFIX = 'decisions/';
 const TIME_DIGITS = 14;
 /** Deletions in one round, so that clean-up never takes the store's write budget. */
-const MAX_DELETES = 200;
+const MAX_DELETES_PER_RUN = 200;
 
 /** Deletes what was kept for its stated time. One page of the ledger for each round. */
 export class Cleanup {
@@ -12,7 +12,7 @@
 
   constructor(readonly context: ControllerContext) {}
 
-  async round(): Promise<void> {
+  async run(): Promise<void> {
     await this.#cleanLedger();
     await this.#cleanDecisions();
   }
@@ -36,8 +36,8 @@
     const { objects, clock, settings } = this.context;
     const names = await objects.list(DECISIONS_PREFIX);
     if (names.isErr) return;
-    const oldest = clock.wallMs() - settings.decisionRetentionMs;
-    const expired = names.value.filter((name) => Number(name.slice(-TIME_DIGITS)) < oldest);
-    for (const name of expired.slice(0, MAX_DELETES)) await objects.remove(name);
+    const cutoffMs = clock.wallMs() - settings.decisionRetentionMs;
+    const expired = names.value.filter((name) => Number(name.slice(-TIME_DIGITS)) < cutoffMs);
+    for (const name of expired.slice(0, MAX_DELETES_PER_RUN)) await objects.remove(name);
   }
 }
--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -17,7 +17,7 @@
 import type { ControllerSettings } from './settings.js';
 import { MemorySweep } from './sweep/memory-sweep.js';
 
-const DECISION_RING = 2000;
+const DECISION_RING_SIZE = 2000;
 const DECISION_FLUSH_MS = 1000;
 const FLEET_LEASE = 'fleet';
 
@@ -38,7 +38,7 @@
   const objects = new PlatformObjects(connection);
   const reader = new ConfigurationReader(new ConfigurationHolder(), table, clock);
   const name = `${settings.host}-controller`;
-  const decisions = new DecisionLog(name, objects, clock, DECISION_RING);
+  const decisions = new DecisionLog(name, objects, clock, DECISION_RING_SIZE);
   return {
     settings,
     clock,
@@ -62,7 +62,7 @@
     return [...this.#pools.values()];
   }
 
-  async look(): Promise<void> {
+  async reconcile(): Promise<void> {
     await this.context.reader.poll();
     const names = new Set(
       this.context.reader.holder.current.list('pool').map((pool) => pool.object.name),
@@ -75,7 +75,7 @@
     for (const name of names) {
       if (!this.#pools.has(name)) this.#pools.set(name, new PoolController(name, this.context));
     }
-    await Promise.all(this.all.map((pool) => pool.look()));
+    await Promise.all(this.all.map((pool) => pool.reconcile()));
   }
 }
 
@@ -85,20 +85,20 @@
   const sweep = new MemorySweep(context);
   const cleanup = new Cleanup(context);
   let isSweeping = false;
-  const look = async (): Promise<void> => {
+  const sweepOnce = async (): Promise<void> => {
     if (isSweeping || !lease.held()) return;
     isSweeping = true;
     const engines = context.reader.holder.current
       .list('backend-server')
       .filter((server) => server.object.spec.kind === 'engine');
-    await sweep.look(engines);
+    await sweep.run(engines);
     isSweeping = false;
   };
   return [
     clock.every(lease.tickPeriodMs, () => void lease.tick()),
-    clock.every(settings.sweepPeriodMs, () => void look()),
+    clock.every(settings.sweepPeriodMs, () => void sweepOnce()),
     clock.every(settings.cleanupPeriodMs, () => {
-      if (lease.held()) void cleanup.round();
+      if (lease.held()) void cleanup.run();
     }),
     clock.every(DECISION_FLUSH_MS, () => void context.decisions.flush()),
   ];
@@ -130,9 +130,9 @@
   await lease.tick();
   const timers = [
     ...startFleetWork(context, lease),
-    clock.every(settings.planPeriodMs, () => void pools.look()),
+    clock.every(settings.planPeriodMs, () => void pools.reconcile()),
   ];
-  await pools.look();
+  await pools.reconcile();
   log.info('serving', { url: server.url });
   return {
     url: server.url,
--- a/packages/controller/src/models/plan-orders.test.ts
+++ b/packages/controller/src/models/plan-orders.test.ts
@@ -1,13 +1,13 @@
 import { describe, expect, it } from 'vitest';
-import { planLoad, planRole, planUnload, SlowFall } from './plan-orders.js';
-import type { PlannedEngine, WantedModel } from './plan-orders.js';
+import { planLoad, planRole, planUnload, DelayedDecrease } from './plan-orders.js';
+import type { PlannedEngine, DesiredModel } from './plan-orders.js';
 import { versionToLoad } from './rollout.js';
 
 function engine(name: string, models: Record<string, string> = {}): PlannedEngine {
   return { name, models, role: 'any', isLeaving: false };
 }
 
-function wanted(more: Partial<WantedModel> = {}): WantedModel {
+function wanted(more: Partial<DesiredModel> = {}): DesiredModel {
   return {
     name: 'm',
     version: '2',
@@ -49,9 +49,12 @@
   });
 
   it('falls slowly', () => {
-    const fall = new SlowFall(1000, 2);
-    expect([fall.next(4, 0), fall.next(1, 100), fall.next(1, 900), fall.next(1, 1100)]).toEqual([
-      4, 4, 4, 1,
-    ]);
+    const limiter = new DelayedDecrease(1000, 2);
+    expect([
+      limiter.next(4, 0),
+      limiter.next(1, 100),
+      limiter.next(1, 900),
+      limiter.next(1, 1100),
+    ]).toEqual([4, 4, 4, 1]);
   });
 });
--- a/packages/controller/src/models/plan-orders.ts
+++ b/packages/controller/src/models/plan-orders.ts
@@ -11,7 +11,7 @@
 }
 
 /** What operators want of a model in this pool. */
-export interface WantedModel {
+export interface DesiredModel {
   readonly name: string;
   readonly version: string;
   readonly adapters: readonly string[];
@@ -24,7 +24,7 @@
 }
 
 /** An order for one engine, and why. */
-export interface PlannedOrder {
+export interface PlannedCommand {
   readonly engine: string;
   readonly order: EngineCommand;
   readonly why: string;
@@ -32,7 +32,7 @@
 
 /** The engines that should hold a model, as many as demand needs within the limits. */
 export function chooseHolders(
-  model: WantedModel,
+  model: DesiredModel,
   engines: readonly PlannedEngine[],
 ): readonly string[] {
   const usable = new Set(engines.filter((engine) => !engine.isLeaving).map(({ name }) => name));
@@ -45,15 +45,15 @@
  * One at a time, so that a rollout never takes the model away from two engines at once.
  */
 export function planLoad(
-  model: WantedModel,
+  model: DesiredModel,
   engines: readonly PlannedEngine[],
-): PlannedOrder | undefined {
+): PlannedCommand | undefined {
   const byName = new Map(engines.map((engine) => [engine.name, engine]));
   const holders = chooseHolders(model, engines);
   const versionOf = (name: string) => byName.get(name)?.models[model.name];
   const missing = holders.find((name) => versionOf(name) === undefined);
-  const old = holders.find((name) => versionOf(name) !== model.version);
-  const engine = missing ?? old;
+  const outdated = holders.find((name) => versionOf(name) !== model.version);
+  const engine = missing ?? outdated;
   if (engine === undefined) return undefined;
   const { name, version, adapters } = model;
   const why = missing === undefined ? `replaces version ${versionOf(engine) ?? ''}` : 'is wanted';
@@ -62,9 +62,9 @@
 
 /** Unloads a model from an engine that needn't hold it, while enough others do. */
 export function planUnload(
-  model: WantedModel,
+  model: DesiredModel,
   engines: readonly PlannedEngine[],
-): PlannedOrder | undefined {
+): PlannedCommand | undefined {
   const holders = new Set(chooseHolders(model, engines));
   const serving = engines.filter((engine) => model.name in engine.models);
   if (serving.length <= holders.size) return undefined;
@@ -80,7 +80,7 @@
   roles: { readonly short: number; readonly long: number },
   order: readonly string[],
   engines: readonly PlannedEngine[],
-): PlannedOrder | undefined {
+): PlannedCommand | undefined {
   const byName = new Map(engines.map((engine) => [engine.name, engine]));
   const present = order.filter((name) => byName.has(name));
   for (const [index, name] of present.entries()) {
@@ -94,28 +94,28 @@
 }
 
 /** Lets a number rise at once but fall only after it was lower for a time. */
-export class SlowFall {
-  #held: number;
+export class DelayedDecrease {
+  #current: number;
   #lowSinceMs: Milliseconds | undefined;
 
   constructor(
-    readonly fallAfterMs: Milliseconds,
+    readonly decreaseAfterMs: Milliseconds,
     start: number,
   ) {
-    this.#held = start;
+    this.#current = start;
   }
 
   next(value: number, nowMs: Milliseconds): number {
-    if (value >= this.#held) {
-      this.#held = value;
+    if (value >= this.#current) {
+      this.#current = value;
       this.#lowSinceMs = undefined;
-      return this.#held;
+      return this.#current;
     }
     this.#lowSinceMs ??= nowMs;
-    if (nowMs - this.#lowSinceMs >= this.fallAfterMs) {
-      this.#held = value;
+    if (nowMs - this.#lowSinceMs >= this.decreaseAfterMs) {
+      this.#current = value;
       this.#lowSinceMs = undefined;
     }
-    return this.#held;
+    return this.#current;
   }
 }
--- a/packages/controller/src/models/pool-controller.ts
+++ b/packages/controller/src/models/pool-controller.ts
@@ -7,14 +7,14 @@
 import { Lease } from '@poppypond/state';
 import type { HeldLease } from '@poppypond/state';
 import type { ControllerContext } from '../context.js';
-import { chooseHolders, planLoad, planRole, planUnload, SlowFall } from './plan-orders.js';
-import type { PlannedEngine, PlannedOrder, WantedModel } from './plan-orders.js';
+import { chooseHolders, planLoad, planRole, planUnload, DelayedDecrease } from './plan-orders.js';
+import type { PlannedEngine, PlannedCommand, DesiredModel } from './plan-orders.js';
 import { readRollout, versionToLoad, writeRollout } from './rollout.js';
 
 /** Loads that may fail in a row before a version is given up. */
 const MAX_LOAD_FAILURES = 2;
 /** Prefill that one engine is planned to do, as a share of its time. */
-const BUSY_SHARE = 0.6;
+const TARGET_BUSY_SHARE = 0.6;
 
 interface PoolView {
   readonly pool: Versioned<'pool'>;
@@ -28,11 +28,11 @@
 /** Controls the engines of one pool while this host holds the pool's lease. */
 export class PoolController {
   readonly lease: Lease;
-  readonly #needed = new Map<string, SlowFall>();
+  readonly #neededByModel = new Map<string, DelayedDecrease>();
   readonly #failures = new Map<string, number>();
-  #quietUntilMs: Milliseconds = 0;
+  #graceUntilMs: Milliseconds = 0;
   #lastFence = 0;
-  #isLooking = false;
+  #isReconciling = false;
   #isStopped = false;
 
   constructor(
@@ -57,28 +57,28 @@
   }
 
   /** Looks at the pool once and sends at most one order for each model and for roles. */
-  async look(): Promise<void> {
-    if (this.#isLooking) return;
-    this.#isLooking = true;
-    await this.#lookOnce().finally(() => {
-      this.#isLooking = false;
+  async reconcile(): Promise<void> {
+    if (this.#isReconciling) return;
+    this.#isReconciling = true;
+    await this.#reconcileOnce().finally(() => {
+      this.#isReconciling = false;
     });
   }
 
-  async #lookOnce(): Promise<void> {
+  async #reconcileOnce(): Promise<void> {
     const configuration = this.context.reader.holder.current;
     const held = this.lease.held();
     const pool = configuration.get('pool', this.name);
     if (!held || !pool) return;
     const view = await this.#readPool(configuration, pool);
-    if (this.#mustBeQuiet(held, view)) return;
-    const role = planRole(pool.object.spec.roles, this.#order(view, this.name), view.engines);
+    if (this.#isInGracePeriod(held, view)) return;
+    const role = planRole(pool.object.spec.roles, this.#engineOrder(view, this.name), view.engines);
     if (role) await this.#send(view, role);
     const models = configuration
       .list('model')
       .filter((model) => matchesSelector(model.object.spec.pools, pool.object.labels));
     const isContended = models.length > pool.object.spec.modelsPerEngine;
-    for (const model of models) await this.#lookAtModel(view, model, isContended);
+    for (const model of models) await this.#reconcileModel(view, model, isContended);
   }
 
   async #readPool(configuration: Configuration, pool: Versioned<'pool'>): Promise<PoolView> {
@@ -106,24 +106,24 @@
    * Where an engine doesn't check fencing tokens, a new holder sends nothing until every order
    * of the last holder is void.
    */
-  #mustBeQuiet(held: HeldLease, view: PoolView): boolean {
+  #isInGracePeriod(held: HeldLease, view: PoolView): boolean {
     const now = this.context.clock.monotonicMs();
     if (held.fence !== this.#lastFence) {
       this.#lastFence = held.fence;
-      const isFirstEver = held.fence === 1;
-      const mustWait = !view.allCheckFencing && !isFirstEver;
-      this.#quietUntilMs = mustWait ? now + this.context.settings.orderMs : now;
+      const isFirstHolder = held.fence === 1;
+      const mustWait = !view.allCheckFencing && !isFirstHolder;
+      this.#graceUntilMs = mustWait ? now + this.context.settings.orderMs : now;
       this.context.log.info('lease_held', { pool: this.name, fence: held.fence });
     }
-    return now < this.#quietUntilMs;
+    return now < this.#graceUntilMs;
   }
 
-  #order(view: PoolView, key: string): readonly string[] {
+  #engineOrder(view: PoolView, key: string): readonly string[] {
     const names = [...view.urls.keys()];
     return rendezvousOrder(key, names, (name) => name);
   }
 
-  async #lookAtModel(
+  async #reconcileModel(
     view: PoolView,
     model: Versioned<'model'>,
     isContended: boolean,
@@ -134,7 +134,7 @@
     if (stored.isErr) return;
     const { rollout, rowVersion } = stored.value;
     const version = versionToLoad(spec.version, rollout);
-    const wanted = this.#wanted(view, model.object, version, isContended);
+    const wanted = this.#desiredModel(view, model.object, version, isContended);
     const planned = planLoad(wanted, view.engines) ?? planUnload(wanted, view.engines);
     if (planned) return this.#sendLoad(view, model, planned, rollout?.good ?? version, rowVersion);
     const isSettled = chooseHolders(wanted, view.engines).length > 0;
@@ -146,20 +146,21 @@
   /** Engines that the present demand needs; all, where no other model wants the room. */
   #neededEngines(view: PoolView, model: string, isContended: boolean): number {
     if (!isContended) return view.urls.size;
-    const holding = view.engines.filter((engine) => model in engine.models).length;
-    const needed = Math.max(1, Math.ceil((holding * view.busyShare) / BUSY_SHARE));
+    const holderCount = view.engines.filter((engine) => model in engine.models).length;
+    const needed = Math.max(1, Math.ceil((holderCount * view.busyShare) / TARGET_BUSY_SHARE));
     const { clock, settings } = this.context;
-    const fall = this.#needed.get(model) ?? new SlowFall(settings.shrinkAfterMs, holding);
-    this.#needed.set(model, fall);
-    return fall.next(needed, clock.monotonicMs());
+    const delayed =
+      this.#neededByModel.get(model) ?? new DelayedDecrease(settings.shrinkAfterMs, holderCount);
+    this.#neededByModel.set(model, delayed);
+    return delayed.next(needed, clock.monotonicMs());
   }
 
-  #wanted(
+  #desiredModel(
     view: PoolView,
     model: ObjectOf<'model'>,
     version: string,
     isContended: boolean,
-  ): WantedModel {
+  ): DesiredModel {
     const { name, spec } = model;
     return {
       name,
@@ -168,14 +169,14 @@
       minEngines: spec.minEngines,
       maxEngines: spec.maxEngines ?? view.urls.size,
       neededEngines: this.#neededEngines(view, name, isContended),
-      order: this.#order(view, `${this.name}/${name}`),
+      order: this.#engineOrder(view, `${this.name}/${name}`),
     };
   }
 
   async #sendLoad(
     view: PoolView,
     model: Versioned<'model'>,
-    planned: PlannedOrder,
+    planned: PlannedCommand,
     good: string,
     rowVersion: number,
   ): Promise<void> {
@@ -195,7 +196,7 @@
   }
 
   /** Sends an order if the lease is still held now; the order is void when the lease may lapse. */
-  async #send(view: PoolView, planned: PlannedOrder) {
+  async #send(view: PoolView, planned: PlannedCommand) {
     const held = this.lease.held();
     const url = view.urls.get(planned.engine);
     if (!held || url === undefined) return 'not_sent';
@@ -208,7 +209,7 @@
     return result;
   }
 
-  #record(view: PoolView, planned: PlannedOrder, held: HeldLease, result: string): void {
+  #record(view: PoolView, planned: PlannedCommand, held: HeldLease, result: string): void {
     const { context } = this;
     const { order, engine, why } = planned;
     const what = order.kind === 'set-role' ? order.role : `${order.model}@${order.version}`;
--- a/packages/controller/src/sweep/judge-reservation.ts
+++ b/packages/controller/src/sweep/judge-reservation.ts
@@ -3,13 +3,13 @@
 import type { Owner } from '@poppypond/core';
 
 /** What a host said of a reservation: who it is now, and whether it still uses it. */
-export interface ClaimAnswer {
+export interface ClaimResponse {
   readonly owner: Owner;
   readonly isClaimed: boolean;
 }
 
 /** Why a reservation may be released; undefined where its request may still need it. */
-export type SweepReason = 'owner_replaced' | 'owner_disclaims' | 'time_limit_passed';
+export type ReleaseReason = 'owner_replaced' | 'owner_disclaims' | 'time_limit_passed';
 
 /**
  * A reservation that nobody renews is released only when it is certain that no live request
@@ -18,8 +18,8 @@
  */
 export function findReleaseReason(
   held: MemoryReservation,
-  answer: ClaimAnswer | undefined,
-): SweepReason | undefined {
+  answer: ClaimResponse | undefined,
+): ReleaseReason | undefined {
   if (held.isRunning || held.ttlMs > 0) return undefined;
   if (held.timeRemainingMs <= 0) return 'time_limit_passed';
   const owner = parseOwner(held.owner);
--- a/packages/controller/src/sweep/memory-sweep.ts
+++ b/packages/controller/src/sweep/memory-sweep.ts
@@ -6,9 +6,9 @@
 import { z } from 'zod';
 import type { ControllerContext } from '../context.js';
 import { isUnchanged, findReleaseReason } from './judge-reservation.js';
-import type { ClaimAnswer } from './judge-reservation.js';
+import type { ClaimResponse } from './judge-reservation.js';
 
-const ASK_TIMEOUT_MS = 2000;
+const QUERY_TIMEOUT_MS = 2000;
 
 const claimSchema = z.object({ owner: z.string(), isClaimed: z.boolean() });
 const statusSchema = z.object({
@@ -18,19 +18,19 @@
 
 /** Releases engine memory that no live request needs, in two looks. */
 export class MemorySweep {
-  #before = new Map<string, MemoryReservation>();
+  #previous = new Map<string, MemoryReservation>();
 
   constructor(readonly context: ControllerContext) {}
 
   /** One look at every engine. */
-  async look(engines: readonly Versioned<'backend-server'>[]): Promise<void> {
+  async run(engines: readonly Versioned<'backend-server'>[]): Promise<void> {
     const hosts = await this.#findHosts();
     const seen = new Map<string, MemoryReservation>();
-    for (const engine of engines) await this.#lookAt(engine, hosts, seen);
-    this.#before = seen;
+    for (const engine of engines) await this.#sweepEngine(engine, hosts, seen);
+    this.#previous = seen;
   }
 
-  async #lookAt(
+  async #sweepEngine(
     engine: Versioned<'backend-server'>,
     hosts: ReadonlyMap<string, string>,
     seen: Map<string, MemoryReservation>,
@@ -42,8 +42,8 @@
       const key = `${name}/${held.id}`;
       if (held.ttlMs > 0 || held.isRunning) continue;
       seen.set(key, held);
-      if (!isUnchanged(this.#before.get(key), held)) continue;
-      const answer = await this.#askOwner(hosts, spec.url, held);
+      if (!isUnchanged(this.#previous.get(key), held)) continue;
+      const answer = await this.#queryOwner(hosts, spec.url, held);
       const reason = findReleaseReason(held, answer);
       if (reason) await this.#release(engine, held, reason);
     }
@@ -79,7 +79,7 @@
     const replies = await Promise.all(
       this.context.settings.gateways.map(async (url) => ({
         url,
-        reply: await callHttp({ method: 'GET', url: `${url}/status`, timeoutMs: ASK_TIMEOUT_MS }),
+        reply: await callHttp({ method: 'GET', url: `${url}/status`, timeoutMs: QUERY_TIMEOUT_MS }),
       })),
     );
     for (const { url, reply } of replies) {
@@ -93,17 +93,17 @@
     return hosts;
   }
 
-  async #askOwner(
+  async #queryOwner(
     hosts: ReadonlyMap<string, string>,
     engineUrl: string,
     held: MemoryReservation,
-  ): Promise<ClaimAnswer | undefined> {
+  ): Promise<ClaimResponse | undefined> {
     const host = parseOwner(held.owner)?.host;
     const url = host === undefined ? undefined : hosts.get(host);
     if (url === undefined) return undefined;
     const query = new URLSearchParams({ engine: engineUrl, reservation: held.id }).toString();
-    const asked = `${url}/claims?${query}`;
-    const reply = await callHttp({ method: 'GET', url: asked, timeoutMs: ASK_TIMEOUT_MS });
+    const claimsUrl = `${url}/claims?${query}`;
+    const reply = await callHttp({ method: 'GET', url: claimsUrl, timeoutMs: QUERY_TIMEOUT_MS });
     const parsed = claimSchema.safeParse(reply.isOk ? parseJson(reply.value.body) : undefined);
     const owner = parsed.success ? parseOwner(parsed.data.owner) : undefined;
     return owner && parsed.success ? { owner, isClaimed: parsed.data.isClaimed } : undefined;
--- a/packages/emulator/src/commands.ts
+++ b/packages/emulator/src/commands.ts
@@ -1,20 +1,28 @@
 import { seededRandom } from '@poppypond/load';
 import { countSetting, defineCommand, booleanSetting } from '@poppypond/settings';
-import { drawDay, drawDayOfTurns, drawDeployment, drawWords } from './draw-deployment.js';
-import type { DayResult } from './outcome.js';
-import { summarizeDay } from './outcome.js';
-import { PlayedDay } from './play-day.js';
+import {
+  generateScenario,
+  generateAlternatingScenario,
+  generateDeployment,
+  generateNotices,
+} from './draw-deployment.js';
+import type { ScenarioResult } from './outcome.js';
+import { summarizeOutcomes } from './outcome.js';
+import { Simulation } from './play-day.js';
 
 /** One day's figures, as a line of JSON. */
-function lineOf(seed: number, { earned, owed, worstSeconds, byKind }: DayResult): string {
+function formatResult(
+  seed: number,
+  { earnedValue, maxValue, worstSeconds, byKind }: ScenarioResult,
+): string {
   const kinds = Object.fromEntries(
     [...byKind].map(([kind, counts]) => [kind, Object.fromEntries(counts)]),
   );
-  return JSON.stringify({ seed, share: earned / owed, worstSeconds, kinds });
+  return JSON.stringify({ seed, share: earnedValue / maxValue, worstSeconds, kinds });
 }
 
 /** Plays drawn days, one a seed; the planner that decides is the product's own. */
-export const playCommand = defineCommand({
+export const simulateCommand = defineCommand({
   description: 'Play drawn days of emulated engines against the planner; one JSON line a day.',
   shape: {
     seed: countSetting.default(1).describe('seed of the first day'),
@@ -28,14 +36,16 @@
   },
   main: ({ seed, days, large, turns, words, calm }) => {
     for (let next = seed; next < seed + days; next += 1) {
-      const draw = seededRandom(next);
-      const deployment = drawDeployment(`drawn-${String(next)}`, large, draw);
-      const drawn = turns ? drawDayOfTurns(draw) : drawDay(deployment, draw);
-      const said = words ? drawWords(deployment, draw) : [];
+      const random = seededRandom(next);
+      const deployment = generateDeployment(`drawn-${String(next)}`, large, random);
+      const generated = turns
+        ? generateAlternatingScenario(random)
+        : generateScenario(deployment, random);
+      const engineNotices = words ? generateNotices(deployment, random) : [];
       const usual = calm ? { bursts: [], restartsAtMs: [] } : {};
-      const day = { ...drawn, ...usual, words: said };
-      const outcomes = new PlayedDay(deployment, day, next).run();
-      process.stdout.write(`${lineOf(next, summarizeDay(outcomes))}\n`);
+      const scenario = { ...generated, ...usual, notices: engineNotices };
+      const outcomes = new Simulation(deployment, scenario, next).run();
+      process.stdout.write(`${formatResult(next, summarizeOutcomes(outcomes))}\n`);
     }
     return Promise.resolve(0);
   },
--- a/packages/emulator/src/deployment.ts
+++ b/packages/emulator/src/deployment.ts
@@ -2,10 +2,10 @@
 import type { EngineFigures } from '@poppypond/routing';
 
 /** A number that varies: lognormal around its mean, and never above `most`. */
-export interface Spread {
+export interface LognormalDistribution {
   readonly mean: number;
   /** Standard deviation of the logarithm. */
-  readonly spread: number;
+  readonly sigma: number;
   readonly most: number;
 }
 
@@ -13,18 +13,18 @@
 export interface RequestKind {
   readonly name: string;
   readonly requestsPerSecond: number;
-  readonly promptTokens: Spread;
+  readonly promptTokens: LognormalDistribution;
   /** Events of an answer. */
-  readonly events: Spread;
+  readonly events: LognormalDistribution;
   /** The first event is due within this time of the first try. */
   readonly aimMs: Milliseconds;
   /** The longest pause between events with which an answer is still in time. */
   readonly gapAimMs: Milliseconds;
   /** Time after which a caller expects nothing more. */
-  readonly limitMs: Milliseconds;
+  readonly timeoutMs: Milliseconds;
   /** Worth of an answer of mean length that is in time, and of one that is late. */
-  readonly worth: number;
-  readonly lateWorth: number;
+  readonly inTimeValue: number;
+  readonly lateValue: number;
 }
 
 /** Engines and those who call them. */
@@ -44,11 +44,11 @@
 }
 
 /** For a while an engine turns away what it is sent and asks for rest, or says in its answers that it leaves. */
-export interface EngineWord {
+export interface EngineNotice {
   readonly engineId: string;
   readonly fromMs: Milliseconds;
   readonly toMs: Milliseconds;
-  readonly says: 'rests' | 'leaves' | 'limits';
+  readonly kind: 'rests' | 'leaves' | 'limits';
 }
 
 /** The name of an engine; engines are filled in the order of their names. */
@@ -57,21 +57,23 @@
 }
 
 /** What happens on a day beside the usual. */
-export interface DayPlan {
-  readonly lengthMs: Milliseconds;
+export interface Scenario {
+  readonly durationMs: Milliseconds;
   readonly bursts: readonly Burst[];
   /** All hosts are killed at these instants, and start again knowing nothing. */
   readonly restartsAtMs: readonly Milliseconds[];
-  readonly words: readonly EngineWord[];
+  readonly notices: readonly EngineNotice[];
 }
 
 /** What a request is worth at most, in answers of its kind's mean length. */
-const MOST_SIZE = 4;
-const WORTH_OF_ANY_SIZE = 0.3;
+const MAX_RELATIVE_VALUE = 4;
+const FIXED_VALUE_SHARE = 0.3;
 
 /** Worth of an answer of this kind to a prompt of `promptTokens`, in time or late. */
-export function worthOf(kind: RequestKind, promptTokens: number, isInTime: boolean): number {
+export function answerValue(kind: RequestKind, promptTokens: number, isInTime: boolean): number {
   const size = promptTokens / kind.promptTokens.mean;
-  const sized = WORTH_OF_ANY_SIZE + (1 - WORTH_OF_ANY_SIZE) * size;
-  return Math.min(MOST_SIZE, sized) * (isInTime ? kind.worth : kind.lateWorth);
+  const relativeValue = FIXED_VALUE_SHARE + (1 - FIXED_VALUE_SHARE) * size;
+  return (
+    Math.min(MAX_RELATIVE_VALUE, relativeValue) * (isInTime ? kind.inTimeValue : kind.lateValue)
+  );
 }
--- a/packages/emulator/src/emulated-engine.test.ts
+++ b/packages/emulator/src/emulated-engine.test.ts
@@ -16,32 +16,32 @@
   usualAnswerTokens: 1300,
 };
 
-function emulated() {
+function createEngine() {
   const clock = new VirtualClock();
   const engine = new EmulatedEngine(clock, FIGURES);
   const seen: string[] = [];
-  const note = (what: string) => {
+  const record = (what: string) => {
     seen.push(`${what} ${clock.monotonicMs().toFixed(1)}`);
   };
-  const read = (streamId: string, tokens: number, isHelper = false) => {
-    const readMs = prefillComputeMs(FIGURES, tokens);
-    const onRead = () => {
-      note(`${streamId} read`);
+  const read = (streamId: string, tokens: number, isForOtherEngine = false) => {
+    const computeMs = prefillComputeMs(FIGURES, tokens);
+    const onPrefilled = () => {
+      record(`${streamId} read`);
     };
-    engine.read({ streamId, tokens, readMs, isHelper, onRead });
+    engine.read({ streamId, tokens, computeMs, isForOtherEngine, onPrefilled });
   };
-  const write = (streamId: string, contextTokens: number, events: number) => {
+  const decode = (streamId: string, contextTokens: number, events: number) => {
     const onEvent = (isLast: boolean) => {
-      note(`${streamId} ${isLast ? 'last' : 'event'}`);
+      record(`${streamId} ${isLast ? 'last' : 'event'}`);
     };
-    engine.write({ streamId, contextTokens, events, onEvent });
+    engine.decode({ streamId, contextTokens, events, onEvent });
   };
-  return { clock, engine, seen, read, write };
+  return { clock, engine, seen, read, decode };
 }
 
 describe('EmulatedEngine', () => {
   it('reads a prompt in the time of its tokens, pairs and steps', () => {
-    const { clock, seen, read } = emulated();
+    const { clock, seen, read } = createEngine();
     read('a', 5000);
     clock.runUntil(1000);
     // 5,000 / 154 for the tokens, 12.5 million pairs at 0.162, three steps of 2,048 tokens at most.
@@ -49,8 +49,8 @@
   });
 
   it('writes one event a pass, and reads between the steps of a pass', () => {
-    const { clock, seen, read, write } = emulated();
-    write('a', 10_000, 2);
+    const { clock, seen, read, decode } = createEngine();
+    decode('a', 10_000, 2);
     clock.runUntil(1);
     read('b', 5000, true);
     clock.runUntil(1000);
@@ -64,7 +64,7 @@
   });
 
   it('reads parts for others before prompts of its own, and the newest part first', () => {
-    const { clock, seen, read } = emulated();
+    const { clock, seen, read } = createEngine();
     read('own', 20_000);
     clock.runUntil(1);
     read('older', 2000, true);
@@ -74,7 +74,7 @@
   });
 
   it('lets no more answers in than it has places, and the next when one is over', () => {
-    const { clock, engine, seen, read } = emulated();
+    const { clock, engine, seen, read } = createEngine();
     for (const id of ['a', 'b', 'c']) read(id, 1000);
     clock.runUntil(500);
     expect(seen).toHaveLength(2);
--- a/packages/emulator/src/emulated-engine.ts
+++ b/packages/emulator/src/emulated-engine.ts
@@ -3,18 +3,18 @@
 import type { EngineFigures } from '@poppypond/routing';
 
 /** A part of a prompt that one engine reads. */
-export interface ReadPart {
+export interface PrefillPart {
   readonly streamId: string;
   readonly tokens: number;
   /** Time that its tokens and pairs take by themselves; each step costs its own time besides. */
-  readonly readMs: Milliseconds;
+  readonly computeMs: Milliseconds;
   /** Whether another engine writes the answer. */
-  readonly isHelper: boolean;
-  readonly onRead: () => void;
+  readonly isForOtherEngine: boolean;
+  readonly onPrefilled: () => void;
 }
 
 /** An answer that one engine writes. */
-export interface WrittenStream {
+export interface DecodingStream {
   readonly streamId: string;
   readonly contextTokens: number;
   readonly events: number;
@@ -22,18 +22,18 @@
 }
 
 interface RunningPart {
-  readonly part: ReadPart;
+  readonly part: PrefillPart;
   /** Share of the part that is not read yet, from 1 down to 0. */
   left: number;
 }
 
 interface RunningStream {
-  readonly stream: WrittenStream;
+  readonly stream: DecodingStream;
   eventsLeft: number;
 }
 
 /** Less than this share of a part left counts as nothing left. */
-const NOTHING_LEFT = 1e-9;
+const COMPLETION_TOLERANCE = 1e-9;
 
 /**
  * One model engine by its published arithmetic: passes over all that wait, each of several steps
@@ -45,7 +45,7 @@
   /** Prompts of its own that wait for a place. */
   #queued: RunningPart[] = [];
   /** Answers that have a place, from the reading of their prompts to their ends. */
-  readonly #placed = new Set<string>();
+  readonly #slotHolders = new Set<string>();
   #streams: RunningStream[] = [];
   #isInPass = false;
   /** Time in which it worked, for the account of a day. */
@@ -57,18 +57,18 @@
   ) {}
 
   /** Takes in a part of a prompt; one of its own waits for a place. */
-  read(part: ReadPart): void {
+  read(part: PrefillPart): void {
     const running = { part, left: 1 };
-    if (part.isHelper) this.#parts.push(running);
+    if (part.isForOtherEngine) this.#parts.push(running);
     else this.#queued.push(running);
-    this.#fillPlaces();
-    this.#wake();
+    this.#fillSlots();
+    this.#schedulePass();
   }
 
   /** Begins an answer whose prompt is read. */
-  write(stream: WrittenStream): void {
+  decode(stream: DecodingStream): void {
     this.#streams.push({ stream, eventsLeft: stream.events });
-    this.#wake();
+    this.#schedulePass();
   }
 
   /** Drops all that belongs to an answer; a pass that has begun goes on to its end. */
@@ -76,7 +76,7 @@
     this.#parts = this.#parts.filter(({ part }) => part.streamId !== streamId);
     this.#queued = this.#queued.filter(({ part }) => part.streamId !== streamId);
     this.#streams = this.#streams.filter(({ stream }) => stream.streamId !== streamId);
-    this.#leavePlace(streamId);
+    this.#releaseSlot(streamId);
   }
 
   /** Drops everything. */
@@ -84,25 +84,25 @@
     this.#parts = [];
     this.#queued = [];
     this.#streams = [];
-    this.#placed.clear();
+    this.#slotHolders.clear();
   }
 
-  #fillPlaces(): void {
-    while (this.#placed.size < this.figures.slots) {
+  #fillSlots(): void {
+    while (this.#slotHolders.size < this.figures.slots) {
       const next = this.#queued.shift();
       if (!next) return;
-      this.#placed.add(next.part.streamId);
+      this.#slotHolders.add(next.part.streamId);
       this.#parts.push(next);
     }
   }
 
-  #leavePlace(streamId: string): void {
-    if (!this.#placed.delete(streamId)) return;
-    this.#fillPlaces();
-    this.#wake();
+  #releaseSlot(streamId: string): void {
+    if (!this.#slotHolders.delete(streamId)) return;
+    this.#fillSlots();
+    this.#schedulePass();
   }
 
-  #wake(): void {
+  #schedulePass(): void {
     if (this.#isInPass) return;
     this.#isInPass = true;
     // What arrives in the same instant takes part in the same pass.
@@ -116,65 +116,65 @@
       this.#isInPass = false;
       return;
     }
-    const writing = [...this.#streams];
-    const { readMs, finished } = this.#readInPass(writing.length > 0);
-    const passMs = readMs + this.#stepsMs(writing);
+    const decodingStreams = [...this.#streams];
+    const { prefillMs, finished } = this.#prefillInPass(decodingStreams.length > 0);
+    const passMs = prefillMs + this.#decodeMs(decodingStreams);
     this.busyMs += passMs;
     this.clock.after(passMs, () => {
-      this.#endPass(writing, finished);
+      this.#endPass(decodingStreams, finished);
     });
   }
 
   /** Time of a pass beside its reading: one step where nothing writes. */
-  #stepsMs(writing: readonly RunningStream[]): Milliseconds {
-    if (writing.length === 0) return this.figures.stepMs;
-    const context = writing.reduce((sum, { stream }) => sum + stream.contextTokens, 0);
-    return passTimeMs(this.figures, writing.length, context);
+  #decodeMs(decodingStreams: readonly RunningStream[]): Milliseconds {
+    if (decodingStreams.length === 0) return this.figures.stepMs;
+    const context = decodingStreams.reduce((sum, { stream }) => sum + stream.contextTokens, 0);
+    return passTimeMs(this.figures, decodingStreams.length, context);
   }
 
   /** Takes reading into the pass that begins: its time, and the parts that are read after it. */
-  #readInPass(hasWriters: boolean): {
-    readonly readMs: Milliseconds;
+  #prefillInPass(isDecoding: boolean): {
+    readonly prefillMs: Milliseconds;
     readonly finished: readonly RunningPart[];
   } {
-    const { prefillTokensPerStep: readTokensPerStep, stepsPerPass } = this.figures;
-    let tokensLeft = readTokensPerStep * (hasWriters ? stepsPerPass : 1);
-    let readMs = 0;
+    const { prefillTokensPerStep, stepsPerPass } = this.figures;
+    let remainingTokens = prefillTokensPerStep * (isDecoding ? stepsPerPass : 1);
+    let prefillMs = 0;
     const finished: RunningPart[] = [];
-    for (const running of this.#readOrder()) {
-      if (tokensLeft <= 0) break;
+    for (const running of this.#prefillOrder()) {
+      if (remainingTokens <= 0) break;
       const { part } = running;
-      const share = Math.min(running.left, tokensLeft / Math.max(1, part.tokens));
+      const share = Math.min(running.left, remainingTokens / Math.max(1, part.tokens));
       running.left -= share;
-      tokensLeft -= share * part.tokens;
-      readMs += share * part.readMs;
-      if (running.left <= NOTHING_LEFT) finished.push(running);
+      remainingTokens -= share * part.tokens;
+      prefillMs += share * part.computeMs;
+      if (running.left <= COMPLETION_TOLERANCE) finished.push(running);
     }
-    return { readMs, finished };
+    return { prefillMs, finished };
   }
 
-  #readOrder(): readonly RunningPart[] {
+  #prefillOrder(): readonly RunningPart[] {
     const newestFirst = [...this.#parts].reverse();
     return [
-      ...newestFirst.filter(({ part }) => part.isHelper),
-      ...newestFirst.filter(({ part }) => !part.isHelper),
+      ...newestFirst.filter(({ part }) => part.isForOtherEngine),
+      ...newestFirst.filter(({ part }) => !part.isForOtherEngine),
     ];
   }
 
-  #endPass(writing: readonly RunningStream[], finished: readonly RunningPart[]): void {
+  #endPass(decodingStreams: readonly RunningStream[], finished: readonly RunningPart[]): void {
     const alive = new Set(this.#streams);
-    for (const running of writing) {
+    for (const running of decodingStreams) {
       if (!alive.has(running)) continue;
       running.eventsLeft -= 1;
       running.stream.onEvent(running.eventsLeft === 0);
     }
     for (const { stream, eventsLeft } of this.#streams) {
-      if (eventsLeft === 0) this.#leavePlace(stream.streamId);
+      if (eventsLeft === 0) this.#releaseSlot(stream.streamId);
     }
     this.#streams = this.#streams.filter(({ eventsLeft }) => eventsLeft > 0);
-    const unread = new Set(this.#parts);
+    const activeParts = new Set(this.#parts);
     this.#parts = this.#parts.filter((running) => !finished.includes(running));
-    for (const running of finished) if (unread.has(running)) running.part.onRead();
+    for (const running of finished) if (activeParts.has(running)) running.part.onPrefilled();
     this.#beginPass();
   }
 }
--- a/packages/emulator/src/engine-words.ts
+++ b/packages/emulator/src/engine-words.ts
@@ -2,17 +2,17 @@
 import { ServerBackoffs, ServerLimits } from '@poppypond/fleet';
 import type { BackendServer } from '@poppypond/fleet';
 import type { ServerList } from '@poppypond/relay/planning';
-import type { EngineWord } from './deployment.js';
+import type { EngineNotice } from './deployment.js';
 import type { VirtualClock } from './virtual-clock.js';
 
 /** What an engine asks for that turns requests away. */
-const REST_MS: Milliseconds = 3000;
+const BACKOFF_MS: Milliseconds = 3000;
 /** The requests a second that an engine takes which names a limit. */
 export const LIMIT_PER_SECOND = 2;
 
 /** What engines say of themselves on a day, and what the host makes of it. */
-export class EngineWords {
-  readonly #rests: ServerBackoffs;
+export class EngineNotices {
+  readonly #backoffs: ServerBackoffs;
   readonly #servers = new Map<string, BackendServer>();
   /** Limits that engines name. */
   readonly limits = new ServerLimits();
@@ -23,23 +23,23 @@
     readonly clock: VirtualClock,
     readonly list: ServerList,
     listed: readonly BackendServer[],
-    readonly words: readonly EngineWord[],
-    draw: () => number,
+    readonly notices: readonly EngineNotice[],
+    random: () => number,
   ) {
-    this.#rests = new ServerBackoffs(draw);
+    this.#backoffs = new ServerBackoffs(random);
     for (const server of listed) this.#servers.set(server.id, server);
   }
 
   /** An attempt reaches an engine; true where that turns it away and asks for rest. */
-  isTurnedAway(id: string, attemptId: string): boolean {
+  rejectsAttempt(id: string, attemptId: string): boolean {
     const server = this.#servers.get(id);
     if (!server) return false;
     const nowMs = this.clock.monotonicMs();
-    this.#rests.onSent(server, attemptId, nowMs);
-    if (this.#says(id, 'limits')) this.limitedArrivals.push({ id, atMs: nowMs });
-    if (!this.#says(id, 'rests')) return false;
-    this.#rests.begin(server, REST_MS, nowMs);
-    this.#rests.onAttemptEnd(server, attemptId);
+    this.#backoffs.onSent(server, attemptId, nowMs);
+    if (this.#hasNotice(id, 'limits')) this.limitedArrivals.push({ id, atMs: nowMs });
+    if (!this.#hasNotice(id, 'rests')) return false;
+    this.#backoffs.begin(server, BACKOFF_MS, nowMs);
+    this.#backoffs.onAttemptEnd(server, attemptId);
     return true;
   }
 
@@ -47,10 +47,10 @@
   onEvents(id: string, attemptId: string): void {
     const server = this.#servers.get(id);
     if (!server) return;
-    this.#rests.onAnswered(server, attemptId);
+    this.#backoffs.onAnswered(server, attemptId);
     const nowMs = this.clock.monotonicMs();
-    if (this.#says(id, 'leaves')) this.list.onLeaving(server, nowMs);
-    const isLimited = this.#says(id, 'limits');
+    if (this.#hasNotice(id, 'leaves')) this.list.onLeaving(server, nowMs);
+    const isLimited = this.#hasNotice(id, 'limits');
     const named = { kind: 'named', perSecond: LIMIT_PER_SECOND } as const;
     this.limits.applyNotice(server, isLimited ? named : { kind: 'none' }, nowMs, nowMs);
   }
@@ -58,14 +58,16 @@
   /** Engines that may be sent nothing now. */
   excludedIds(): readonly string[] {
     const nowMs = this.clock.monotonicMs();
-    const resting = [...this.#servers.values()].filter((one) => !this.#rests.canSend(one, nowMs));
+    const resting = [...this.#servers.values()].filter(
+      (server) => !this.#backoffs.canSend(server, nowMs),
+    );
     return resting.map(({ id }) => id);
   }
 
-  #says(id: string, what: EngineWord['says']): boolean {
+  #hasNotice(id: string, what: EngineNotice['kind']): boolean {
     const nowMs = this.clock.monotonicMs();
-    return this.words.some(({ engineId, fromMs, toMs, says }) => {
-      return engineId === id && says === what && nowMs >= fromMs && nowMs < toMs;
+    return this.notices.some(({ engineId, fromMs, toMs, kind }) => {
+      return engineId === id && kind === what && nowMs >= fromMs && nowMs < toMs;
     });
   }
 }
--- a/packages/emulator/src/main.ts
+++ b/packages/emulator/src/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
 import { runProgram } from '@poppypond/settings';
-import { playCommand } from './commands.js';
+import { simulateCommand } from './commands.js';
 
-await runProgram('poppypond-emulator', [playCommand]);
+await runProgram('poppypond-emulator', [simulateCommand]);
--- a/packages/emulator/src/outcome.ts
+++ b/packages/emulator/src/outcome.ts
@@ -1,5 +1,5 @@
 import type { Milliseconds } from '@poppypond/core';
-import { worthOf } from './deployment.js';
+import { answerValue } from './deployment.js';
 import type { Arrival } from './traffic.js';
 
 /**
@@ -15,13 +15,13 @@
   /** From the first try to the first event; undefined where there was none. */
   readonly firstEventMs: Milliseconds | undefined;
   /** Time for which it was held and never sent to an engine; 0 where it was. */
-  readonly heldMs: Milliseconds;
+  readonly queuedMs: Milliseconds;
 }
 
 /** What a day earned of what it owed. */
-export interface DayResult {
-  readonly earned: number;
-  readonly owed: number;
+export interface ScenarioResult {
+  readonly earnedValue: number;
+  readonly maxValue: number;
   /** Share of worth that was earned, by second of arrival, of the worst tenth of seconds. */
   readonly worstSeconds: number;
   readonly byKind: ReadonlyMap<string, ReadonlyMap<OutcomeKind, number>>;
@@ -30,28 +30,28 @@
 const MS_PER_SECOND = 1000;
 const WORST_SHARE = 0.1;
 
-interface Sum {
-  readonly earned: number;
-  readonly owed: number;
+interface ValueTotals {
+  readonly earnedValue: number;
+  readonly maxValue: number;
 }
 
 /** A wait that ends unserved costs more the longer it lasted, up to the whole worth. */
-function earnedBy({ arrival, kind, heldMs }: Outcome): number {
-  if (kind === 'in_time') return worthOf(arrival.kind, arrival.promptTokens, true);
+function earnedValueOf({ arrival, kind, queuedMs }: Outcome): number {
+  if (kind === 'in_time') return answerValue(arrival.kind, arrival.promptTokens, true);
   const isLate = kind === 'late_start' || kind === 'late_pause';
-  if (isLate) return worthOf(arrival.kind, arrival.promptTokens, false);
-  const heldShare = Math.min(1, heldMs / arrival.kind.limitMs);
-  return -heldShare * worthOf(arrival.kind, arrival.promptTokens, true);
+  if (isLate) return answerValue(arrival.kind, arrival.promptTokens, false);
+  const queuedShare = Math.min(1, queuedMs / arrival.kind.timeoutMs);
+  return -queuedShare * answerValue(arrival.kind, arrival.promptTokens, true);
 }
 
-function sumOf(outcomes: readonly Outcome[]): Sum {
-  let earned = 0;
-  let owed = 0;
+function totalValues(outcomes: readonly Outcome[]): ValueTotals {
+  let earnedValue = 0;
+  let maxValue = 0;
   for (const outcome of outcomes) {
-    earned += earnedBy(outcome);
-    owed += worthOf(outcome.arrival.kind, outcome.arrival.promptTokens, true);
+    earnedValue += earnedValueOf(outcome);
+    maxValue += answerValue(outcome.arrival.kind, outcome.arrival.promptTokens, true);
   }
-  return { earned, owed };
+  return { earnedValue, maxValue };
 }
 
 function worstSeconds(outcomes: readonly Outcome[]): number {
@@ -61,20 +61,20 @@
     seconds.set(second, [...(seconds.get(second) ?? []), outcome]);
   }
   const shares = [...seconds.values()]
-    .map(sumOf)
-    .map(({ earned, owed }) => earned / owed)
+    .map(totalValues)
+    .map(({ earnedValue, maxValue }) => earnedValue / maxValue)
     .sort((left, right) => left - right);
   const worst = shares.slice(0, Math.ceil(shares.length * WORST_SHARE));
   return worst.reduce((sum, share) => sum + share, 0) / Math.max(1, worst.length);
 }
 
 /** Adds the outcomes of a day up. */
-export function summarizeDay(outcomes: readonly Outcome[]): DayResult {
+export function summarizeOutcomes(outcomes: readonly Outcome[]): ScenarioResult {
   const byKind = new Map<string, Map<OutcomeKind, number>>();
   for (const { arrival, kind } of outcomes) {
     const counts = byKind.get(arrival.kind.name) ?? new Map<OutcomeKind, number>();
     counts.set(kind, (counts.get(kind) ?? 0) + 1);
     byKind.set(arrival.kind.name, counts);
   }
-  return { ...sumOf(outcomes), worstSeconds: worstSeconds(outcomes), byKind };
+  return { ...totalValues(outcomes), worstSeconds: worstSeconds(outcomes), byKind };
 }
--- a/packages/emulator/src/play-day.ts
+++ b/packages/emulator/src/play-day.ts
@@ -7,11 +7,11 @@
 import { ActiveConfiguration } from '@poppypond/routing';
 import { silentLog } from '@poppypond/telemetry';
 import { engineIdOf } from './deployment.js';
-import type { DayPlan, Deployment } from './deployment.js';
+import type { Scenario, Deployment } from './deployment.js';
 import { EmulatedEngine } from './emulated-engine.js';
-import { EngineWords } from './engine-words.js';
+import { EngineNotices } from './engine-words.js';
 import type { Outcome, OutcomeKind } from './outcome.js';
-import { drawArrivals } from './traffic.js';
+import { generateArrivals } from './traffic.js';
 import type { Arrival } from './traffic.js';
 import { VirtualClock } from './virtual-clock.js';
 
@@ -20,77 +20,83 @@
 /** One way between a host and the planner, and between a host and an engine. */
 const HOP_MS: Milliseconds = 1;
 /** A host asks its planner again this often while a request waits. */
-const ASK_AGAIN_MS: Milliseconds = 300;
+const RESUBMIT_PERIOD_MS: Milliseconds = 300;
 /** From a kill of all hosts until they serve again. */
 const RESTART_MS: Milliseconds = 600;
 /** Time after the last arrival in which what is open may still end. */
-const CLOSING_MS: Milliseconds = 16_000;
+const DRAIN_MS: Milliseconds = 16_000;
 /** Engines that one request may be sent to. */
-const MOST_ATTEMPTS = 2;
+const MAX_ATTEMPTS = 2;
 
 /** One request while it is served. */
-interface Open {
+interface OpenRequest {
   readonly arrival: Arrival;
   /** Rises when a restart of the hosts ends an attempt, whose events then count no more. */
-  life: number;
+  incarnation: number;
   firstEventMs: Milliseconds | undefined;
   lastEventAtMs: Milliseconds;
-  hasLatePause: boolean;
+  hasLateGap: boolean;
   engineIds: readonly string[];
   /** Engines that turned it away. */
-  readonly turnedAwayBy: Set<string>;
-  cancelSilence: CancelTimer;
+  readonly rejectedBy: Set<string>;
+  cancelIdleTimeout: CancelTimer;
 }
 
 /** Plays one day of a deployment against the product's planner. */
-export class PlayedDay {
+export class Simulation {
   readonly #clock = new VirtualClock();
   readonly #engines = new Map<string, EmulatedEngine>();
-  readonly #open = new Map<string, Open>();
+  readonly #openRequests = new Map<string, OpenRequest>();
   readonly #outcomes: Outcome[] = [];
-  readonly #draw: () => number;
-  readonly #inForce = new ActiveConfiguration();
+  readonly #random: () => number;
+  readonly #activeConfiguration = new ActiveConfiguration();
   readonly #servers: ServerList;
   /** What engines say of themselves. */
-  readonly words: EngineWords;
+  readonly notices: EngineNotices;
   #fleet = new FleetView();
   #planner: Planner;
-  #life = 0;
-  #isDown = false;
+  #incarnation = 0;
+  #areHostsDown = false;
 
   constructor(
     readonly deployment: Deployment,
-    readonly day: DayPlan,
+    readonly scenario: Scenario,
     seed: number,
-    readonly lateRule?: LatePromptPolicy,
+    readonly latePromptPolicy?: LatePromptPolicy,
   ) {
-    this.#draw = seededRandom(seed);
+    this.#random = seededRandom(seed);
     this.#servers = new ServerList(this.#clock, silentLog);
     const listed = this.#configure();
-    this.words = new EngineWords(this.#clock, this.#servers, listed, day.words, this.#draw);
+    this.notices = new EngineNotices(
+      this.#clock,
+      this.#servers,
+      listed,
+      scenario.notices,
+      this.#random,
+    );
     this.#planner = this.#makePlanner();
   }
 
   /** Runs the whole day; how each request ended. */
   run(): readonly Outcome[] {
-    for (const arrival of drawArrivals(this.deployment, this.day, this.#draw)) {
+    for (const arrival of generateArrivals(this.deployment, this.scenario, this.#random)) {
       this.#clock.after(arrival.atMs, () => {
-        this.#arrive(arrival);
+        this.#onArrival(arrival);
       });
     }
-    for (const atMs of this.day.restartsAtMs) {
+    for (const atMs of this.scenario.restartsAtMs) {
       this.#clock.after(atMs, () => {
         this.#killHosts();
       });
     }
-    this.#clock.runUntil(this.day.lengthMs + CLOSING_MS);
-    for (const open of [...this.#open.values()]) this.#end(open, 'open');
+    this.#clock.runUntil(this.scenario.durationMs + DRAIN_MS);
+    for (const request of [...this.#openRequests.values()]) this.#finish(request, 'open');
     return this.#outcomes;
   }
 
   #configure(): readonly BackendServer[] {
     const { engines, figures } = this.deployment;
-    this.#inForce.apply({
+    this.#activeConfiguration.apply({
       version: 1,
       routes: [],
       services: [{ name: SERVICE, engine: figures }],
@@ -111,56 +117,57 @@
   #makePlanner(): Planner {
     return new Planner({
       clock: this.#clock,
-      activeConfiguration: this.#inForce,
+      activeConfiguration: this.#activeConfiguration,
       servers: this.#servers,
       fleet: this.#fleet,
-      random: this.#draw,
-      latePromptPolicy: this.lateRule,
-      limits: this.words.limits,
+      random: this.#random,
+      latePromptPolicy: this.latePromptPolicy,
+      limits: this.notices.limits,
     });
   }
 
-  #arrive(arrival: Arrival): void {
-    const open: Open = {
+  #onArrival(arrival: Arrival): void {
+    const request: OpenRequest = {
       arrival,
-      life: this.#life,
+      incarnation: this.#incarnation,
       firstEventMs: undefined,
       lastEventAtMs: this.#clock.monotonicMs(),
-      hasLatePause: false,
+      hasLateGap: false,
       engineIds: [],
-      turnedAwayBy: new Set(),
-      cancelSilence: () => undefined,
+      rejectedBy: new Set(),
+      cancelIdleTimeout: () => undefined,
     };
-    this.#open.set(arrival.requestId, open);
-    this.#watchSilence(open);
-    this.#clock.after(arrival.kind.limitMs, () => {
-      this.#end(open, 'left');
+    this.#openRequests.set(arrival.requestId, request);
+    this.#restartIdleTimeout(request);
+    this.#clock.after(arrival.kind.timeoutMs, () => {
+      this.#finish(request, 'left');
     });
-    if (!this.#isDown) this.#ask(open);
+    if (!this.#areHostsDown) this.#requestPlan(request);
   }
 
-  #ask(open: Open): void {
-    const life = this.#life;
-    open.life = life;
+  #requestPlan(request: OpenRequest): void {
+    const incarnation = this.#incarnation;
+    request.incarnation = incarnation;
     this.#clock.after(HOP_MS, () => {
-      if (this.#isStale(open, life)) return;
-      this.#submit(open, life);
+      if (this.#isStale(request, incarnation)) return;
+      this.#submit(request, incarnation);
     });
   }
 
   /** Hosts ask again and again while a request waits. */
-  #submit(open: Open, life: number): void {
-    this.#planner.submit(this.#requestFor(open), (answer) => {
-      if (this.#isStale(open, life)) return;
-      if (answer.kind === 'place') this.#place(open, answer.stream);
-      if (answer.kind === 'refuse') this.#end(open, 'refused');
+  #submit(request: OpenRequest, incarnation: number): void {
+    this.#planner.submit(this.#planRequestFor(request), (answer) => {
+      if (this.#isStale(request, incarnation)) return;
+      if (answer.kind === 'place') this.#startAttempt(request, answer.stream);
+      if (answer.kind === 'refuse') this.#finish(request, 'refused');
     });
-    this.#clock.after(ASK_AGAIN_MS, () => {
-      if (!this.#isStale(open, life) && open.engineIds.length === 0) this.#submit(open, life);
+    this.#clock.after(RESUBMIT_PERIOD_MS, () => {
+      if (!this.#isStale(request, incarnation) && request.engineIds.length === 0)
+        this.#submit(request, incarnation);
     });
   }
 
-  #requestFor({ arrival, turnedAwayBy }: Open): PlanRequest {
+  #planRequestFor({ arrival, rejectedBy }: OpenRequest): PlanRequest {
     const { requestId, kind, atMs, promptTokens, events } = arrival;
     return {
       attemptId: requestId,
@@ -175,134 +182,137 @@
       gapAimMs: kind.gapAimMs,
       arrivedAtMs: atMs,
       callerSilentSinceMs: atMs,
-      deadlineAtMs: atMs + kind.limitMs,
-      isRepeated: turnedAwayBy.size > 0,
-      avoidedIds: [...turnedAwayBy],
-      excludedIds: this.words.excludedIds(),
+      deadlineAtMs: atMs + kind.timeoutMs,
+      isRepeated: rejectedBy.size > 0,
+      avoidedIds: [...rejectedBy],
+      excludedIds: this.notices.excludedIds(),
     };
   }
 
-  #isStale(open: Open, life: number): boolean {
-    return open.life !== life || this.#open.get(open.arrival.requestId) !== open;
+  #isStale(request: OpenRequest, incarnation: number): boolean {
+    return (
+      request.incarnation !== incarnation ||
+      this.#openRequests.get(request.arrival.requestId) !== request
+    );
   }
 
   /** Sends the stream to the engines of its plan; the answer begins when all parts are read. */
-  #place(open: Open, { writerId, readerIds }: PlannedStream): void {
-    const { requestId, promptTokens } = open.arrival;
-    const tokensMs = prefillComputeMs(this.deployment.figures, promptTokens);
-    const life = open.life;
-    const ids = [writerId, ...readerIds];
-    open.engineIds = ids;
-    let unread = ids.length;
-    const onRead = () => {
-      unread -= 1;
-      if (unread === 0) this.#write(open, writerId, life);
+  #startAttempt(request: OpenRequest, { writerId, readerIds }: PlannedStream): void {
+    const { requestId, promptTokens } = request.arrival;
+    const prefillMs = prefillComputeMs(this.deployment.figures, promptTokens);
+    const incarnation = request.incarnation;
+    const engineIds = [writerId, ...readerIds];
+    request.engineIds = engineIds;
+    let remainingParts = engineIds.length;
+    const onPrefilled = () => {
+      remainingParts -= 1;
+      if (remainingParts === 0) this.#startDecoding(request, writerId, incarnation);
     };
     this.#clock.after(2 * HOP_MS, () => {
-      if (this.#isStale(open, life)) return;
-      if (this.words.isTurnedAway(writerId, requestId)) {
-        this.#tryAgain(open, writerId);
+      if (this.#isStale(request, incarnation)) return;
+      if (this.notices.rejectsAttempt(writerId, requestId)) {
+        this.#retry(request, writerId);
         return;
       }
-      for (const id of ids) {
+      for (const id of engineIds) {
         this.#engines.get(id)?.read({
           streamId: requestId,
-          tokens: promptTokens / ids.length,
-          readMs: tokensMs / ids.length,
-          isHelper: id !== writerId,
-          onRead,
+          tokens: promptTokens / engineIds.length,
+          computeMs: prefillMs / engineIds.length,
+          isForOtherEngine: id !== writerId,
+          onPrefilled,
         });
       }
     });
   }
 
   /** An engine has turned a request away, which goes to another where it may. */
-  #tryAgain(open: Open, engineId: string): void {
-    open.turnedAwayBy.add(engineId);
-    if (open.turnedAwayBy.size >= MOST_ATTEMPTS) {
-      this.#end(open, 'refused');
+  #retry(request: OpenRequest, engineId: string): void {
+    request.rejectedBy.add(engineId);
+    if (request.rejectedBy.size >= MAX_ATTEMPTS) {
+      this.#finish(request, 'refused');
       return;
     }
-    this.#planner.withdraw(open.arrival.requestId);
-    open.engineIds = [];
-    this.#ask(open);
+    this.#planner.withdraw(request.arrival.requestId);
+    request.engineIds = [];
+    this.#requestPlan(request);
   }
 
-  #write(open: Open, writerId: string, life: number): void {
-    const { requestId, promptTokens, events } = open.arrival;
-    this.#engines.get(writerId)?.write({
+  #startDecoding(request: OpenRequest, writerId: string, incarnation: number): void {
+    const { requestId, promptTokens, events } = request.arrival;
+    this.#engines.get(writerId)?.decode({
       streamId: requestId,
       contextTokens: promptTokens + (events * this.deployment.figures.stepsPerPass) / 2,
       events,
       onEvent: (isLast) => {
         this.#clock.after(HOP_MS, () => {
-          if (this.#isStale(open, life)) return;
-          this.words.onEvents(writerId, requestId);
-          this.#onEvent(open, isLast);
+          if (this.#isStale(request, incarnation)) return;
+          this.notices.onEvents(writerId, requestId);
+          this.#onEvent(request, isLast);
         });
       },
     });
   }
 
-  #onEvent(open: Open, isLast: boolean): void {
+  #onEvent(request: OpenRequest, isLast: boolean): void {
     const nowMs = this.#clock.monotonicMs();
-    const { kind, atMs, requestId } = open.arrival;
-    if (open.firstEventMs === undefined) {
-      open.firstEventMs = nowMs - atMs;
+    const { kind, atMs, requestId } = request.arrival;
+    if (request.firstEventMs === undefined) {
+      request.firstEventMs = nowMs - atMs;
       this.#fleet.onPrefillDone(requestId);
-    } else if (nowMs - open.lastEventAtMs > kind.gapAimMs) {
-      open.hasLatePause = true;
+    } else if (nowMs - request.lastEventAtMs > kind.gapAimMs) {
+      request.hasLateGap = true;
     }
-    open.lastEventAtMs = nowMs;
-    if (isLast) this.#end(open, this.#servedAs(open));
-    else this.#watchSilence(open);
+    request.lastEventAtMs = nowMs;
+    if (isLast) this.#finish(request, this.#servedOutcome(request));
+    else this.#restartIdleTimeout(request);
   }
 
-  #servedAs({ arrival, firstEventMs, hasLatePause }: Open): OutcomeKind {
+  #servedOutcome({ arrival, firstEventMs, hasLateGap }: OpenRequest): OutcomeKind {
     if (firstEventMs === undefined || firstEventMs > arrival.kind.aimMs) return 'late_start';
-    return hasLatePause ? 'late_pause' : 'in_time';
+    return hasLateGap ? 'late_pause' : 'in_time';
   }
 
-  #watchSilence(open: Open): void {
-    const { aimMs, gapAimMs } = open.arrival.kind;
-    open.cancelSilence();
-    open.cancelSilence = this.#clock.after(callerIdleTimeoutMs(aimMs, gapAimMs), () => {
-      this.#end(open, 'left');
+  #restartIdleTimeout(request: OpenRequest): void {
+    const { aimMs, gapAimMs } = request.arrival.kind;
+    request.cancelIdleTimeout();
+    request.cancelIdleTimeout = this.#clock.after(callerIdleTimeoutMs(aimMs, gapAimMs), () => {
+      this.#finish(request, 'left');
     });
   }
 
-  #end(open: Open, kind: OutcomeKind): void {
-    const { requestId } = open.arrival;
-    if (this.#open.get(requestId) !== open) return;
-    this.#open.delete(requestId);
-    open.cancelSilence();
-    for (const id of open.engineIds) this.#engines.get(id)?.cancel(requestId);
+  #finish(request: OpenRequest, kind: OutcomeKind): void {
+    const { requestId } = request.arrival;
+    if (this.#openRequests.get(requestId) !== request) return;
+    this.#openRequests.delete(requestId);
+    request.cancelIdleTimeout();
+    for (const id of request.engineIds) this.#engines.get(id)?.cancel(requestId);
     this.#planner.withdraw(requestId);
-    const { arrival, firstEventMs, engineIds } = open;
-    const heldMs = engineIds.length === 0 ? this.#clock.monotonicMs() - arrival.atMs : 0;
-    this.#outcomes.push({ arrival, kind, firstEventMs, heldMs });
+    const { arrival, firstEventMs, engineIds } = request;
+    const queuedMs = engineIds.length === 0 ? this.#clock.monotonicMs() - arrival.atMs : 0;
+    this.#outcomes.push({ arrival, kind, firstEventMs, queuedMs });
   }
 
   /** All hosts end at once; callers ask again when hosts are back, which know nothing then. */
   #killHosts(): void {
-    this.#life += 1;
-    this.#isDown = true;
+    this.#incarnation += 1;
+    this.#areHostsDown = true;
     for (const engine of this.#engines.values()) engine.clear();
-    for (const open of this.#open.values()) open.life = -1;
+    for (const request of this.#openRequests.values()) request.incarnation = -1;
     this.#clock.after(RESTART_MS, () => {
-      this.#isDown = false;
+      this.#areHostsDown = false;
       this.#fleet = new FleetView();
       this.#planner = this.#makePlanner();
-      for (const open of this.#open.values()) this.#askAgain(open);
+      for (const request of this.#openRequests.values()) this.#restartRequest(request);
     });
   }
 
   /** What a caller had of an answer is lost with the host. */
-  #askAgain(open: Open): void {
-    open.firstEventMs = undefined;
-    open.hasLatePause = false;
-    open.engineIds = [];
-    open.lastEventAtMs = this.#clock.monotonicMs();
-    this.#ask(open);
+  #restartRequest(request: OpenRequest): void {
+    request.firstEventMs = undefined;
+    request.hasLateGap = false;
+    request.engineIds = [];
+    request.lastEventAtMs = this.#clock.monotonicMs();
+    this.#requestPlan(request);
   }
 }
--- a/packages/emulator/src/traffic.ts
+++ b/packages/emulator/src/traffic.ts
@@ -1,5 +1,5 @@
 import type { Milliseconds } from '@poppypond/core';
-import type { DayPlan, Deployment, RequestKind, Spread } from './deployment.js';
+import type { Scenario, Deployment, RequestKind, LognormalDistribution } from './deployment.js';
 
 /** A request that a caller is going to send. */
 export interface Arrival {
@@ -12,56 +12,64 @@
 
 const MS_PER_SECOND = 1000;
 /** Arrivals are drawn at the rate of each such span. */
-const SPAN_MS: Milliseconds = 100;
+const RATE_INTERVAL_MS: Milliseconds = 100;
 
-function normal(draw: () => number): number {
-  const radius = Math.sqrt(-2 * Math.log(1 - draw()));
-  return radius * Math.cos(2 * Math.PI * draw());
+function standardNormal(random: () => number): number {
+  const radius = Math.sqrt(-2 * Math.log(1 - random()));
+  return radius * Math.cos(2 * Math.PI * random());
 }
 
-function drawSpread({ mean, spread, most }: Spread, draw: () => number): number {
-  const middle = Math.log(mean) - (spread * spread) / 2;
-  return Math.min(most, Math.exp(middle + spread * normal(draw)));
+function sampleLognormal(
+  { mean, sigma, most }: LognormalDistribution,
+  random: () => number,
+): number {
+  const mu = Math.log(mean) - (sigma * sigma) / 2;
+  return Math.min(most, Math.exp(mu + sigma * standardNormal(random)));
 }
 
-function rateAt(kind: RequestKind, day: DayPlan, atMs: Milliseconds): number {
-  const factors = day.bursts
+function requestRateAt(kind: RequestKind, scenario: Scenario, atMs: Milliseconds): number {
+  const factors = scenario.bursts
     .filter(({ kinds, fromMs, toMs }) => kinds.includes(kind.name) && atMs >= fromMs && atMs < toMs)
     .map(({ factor }) => factor);
   return factors.reduce((rate, factor) => rate * factor, kind.requestsPerSecond);
 }
 
-function arrivalsOf(kind: RequestKind, day: DayPlan, draw: () => number): readonly Arrival[] {
+function generateArrivalsOfKind(
+  kind: RequestKind,
+  scenario: Scenario,
+  random: () => number,
+): readonly Arrival[] {
   const arrivals: Arrival[] = [];
   let atMs = 0;
-  while (atMs < day.lengthMs) {
-    const perMs = rateAt(kind, day, atMs) / MS_PER_SECOND;
-    const gapMs = perMs > 0 ? -Math.log(1 - draw()) / perMs : Number.POSITIVE_INFINITY;
+  while (atMs < scenario.durationMs) {
+    const ratePerMs = requestRateAt(kind, scenario, atMs) / MS_PER_SECOND;
+    const interarrivalMs =
+      ratePerMs > 0 ? -Math.log(1 - random()) / ratePerMs : Number.POSITIVE_INFINITY;
     // Exponential gaps have no memory, so a gap that leaves its span is drawn anew at the next.
-    const spanEndMs = (Math.floor(atMs / SPAN_MS) + 1) * SPAN_MS;
-    if (atMs + gapMs >= spanEndMs) {
-      atMs = spanEndMs;
+    const intervalEndMs = (Math.floor(atMs / RATE_INTERVAL_MS) + 1) * RATE_INTERVAL_MS;
+    if (atMs + interarrivalMs >= intervalEndMs) {
+      atMs = intervalEndMs;
       continue;
     }
-    atMs += gapMs;
+    atMs += interarrivalMs;
     arrivals.push({
       requestId: `${kind.name}-${String(arrivals.length)}`,
       kind,
       atMs,
-      promptTokens: Math.max(1, Math.round(drawSpread(kind.promptTokens, draw))),
-      events: Math.max(1, Math.round(drawSpread(kind.events, draw))),
+      promptTokens: Math.max(1, Math.round(sampleLognormal(kind.promptTokens, random))),
+      events: Math.max(1, Math.round(sampleLognormal(kind.events, random))),
     });
   }
   return arrivals;
 }
 
 /** All requests of a day, in the order in which they come. */
-export function drawArrivals(
+export function generateArrivals(
   deployment: Deployment,
-  day: DayPlan,
-  draw: () => number,
+  scenario: Scenario,
+  random: () => number,
 ): readonly Arrival[] {
   return deployment.kinds
-    .flatMap((kind) => arrivalsOf(kind, day, draw))
+    .flatMap((kind) => generateArrivalsOfKind(kind, scenario, random))
     .sort((left, right) => left.atMs - right.atMs);
 }
