--- a/packages/admin/src/access/guard.ts
+++ b/packages/admin/src/access/guard.ts
@@ -4,10 +4,13 @@
 import { findOperator } from './operator.js';
 import type { Operator } from './operator.js';
 
-/** A handler that knows who is calling. */
+/** A handler of requests from an authenticated operator. */
 export type OperatorHandler = (route: RouteContext, operator: Operator) => void | Promise<void>;
 
-/** Lets only operators in; the configuration is read first, so that new keys count at once. */
+/**
+ * Wraps a handler so that it runs only for operators. Reads the configuration first, so that new keys are valid at
+ * once.
+ */
 export function guard(context: AdminContext, handler: OperatorHandler): RouteHandler {
   return async (route) => {
     await context.reader.poll();
--- a/packages/admin/src/access/operator.ts
+++ b/packages/admin/src/access/operator.ts
@@ -6,10 +6,13 @@
 import { bearerKey, hashKey } from '@poppypond/web';
 import { Result } from 'true-myth';
 
-/** `viewer` reads, `operator` changes what its scope selects, `admin` changes everything. */
+/**
+ * A `viewer` only reads, an `operator` changes the objects that its scope selects except keys and operators, an `admin`
+ * changes all objects.
+ */
 type Role = 'viewer' | 'operator' | 'admin';
 
-/** Who is calling. */
+/** The authenticated caller. */
 export interface Operator {
   readonly name: string;
   readonly role: Role;
@@ -19,7 +22,7 @@
 const ADMIN_KINDS: ReadonlySet<string> = new Set(['operator', 'key']);
 const BOOTSTRAP_NAME = 'bootstrap';
 
-/** Finds the operator by key. The bootstrap key counts only while there is no operator. */
+/** Finds the operator by its bearer key. The bootstrap key is accepted only while there is no operator object. */
 export function findOperator(
   request: IncomingMessage,
   configuration: Configuration,
@@ -41,10 +44,10 @@
 }
 
 /**
- * Whether an operator may make this change. Both what was there and what comes must be in
- * scope, so that nobody can move an object out of or into another's scope.
+ * Returns a fault if an operator may not make this change. The object must be in the operator's scope both before and
+ * after the change, so that nobody can move an object into or out of another operator's scope.
  */
-export function checkMayChange(
+export function checkChangeAllowed(
   operator: Operator,
   before: ConfigObject | undefined,
   after: ConfigObject | undefined,
@@ -54,7 +57,7 @@
   const path = subject ? objectId(subject) : '';
   if (operator.role === 'viewer') return fault('forbidden', 'a viewer changes nothing', { path });
   if (subject && ADMIN_KINDS.has(subject.kind)) {
-    return fault('forbidden', 'only an admin changes keys and operators', { path });
+    return fault('forbidden', 'only an admin may change keys and operators', { path });
   }
   const isOutside = [before, after].some(
     (object) => object !== undefined && !matchesSelector(operator.scope, object.labels),
--- a/packages/admin/src/admin.ts
+++ b/packages/admin/src/admin.ts
@@ -15,7 +15,7 @@
 import { addObjectRoutes } from './objects/app.js';
 import type { AdminSettings } from './settings.js';
 
-/** Every path of the operators' API; openapi.json describes them. */
+/** Returns a router with all paths of the operators' API, which openapi.json describes. */
 export function createRouter(context: AdminContext): Router {
   const router = new Router((error) => {
     const detail = error instanceof Error ? error.message : String(error);
--- a/packages/admin/src/audit/app.ts
+++ b/packages/admin/src/audit/app.ts
@@ -28,7 +28,10 @@
 async function listAudit(context: AdminContext, route: RouteContext): Promise<void> {
   const { query, response } = route;
   if (!parseSelector(query.get('selector') ?? '')) {
-    return sendFault(response, fault('bad_field', 'malformed', { path: 'selector' }));
+    return sendFault(
+      response,
+      fault('bad_field', 'malformed label selector', { path: 'selector' }),
+    );
   }
   const after = Number(query.get('after') ?? 0);
   const rows = await scanAll(context.table, AUDIT_PREFIX, auditKey(after));
@@ -40,7 +43,7 @@
   sendJson(response, 200, { rows: wanted.map((row) => ({ ...row })) });
 }
 
-/** Sends each accepted change as a line of JSON until the operator goes away. */
+/** Streams each accepted change as a line of JSON until the operator disconnects. */
 async function watch(context: AdminContext, { query, response }: RouteContext): Promise<void> {
   let after = Number(query.get('after') ?? context.reader.holder.current.revision);
   response.writeHead(200, { 'content-type': 'application/x-ndjson' });
--- a/packages/admin/src/context.ts
+++ b/packages/admin/src/context.ts
@@ -3,7 +3,7 @@
 import type { Log } from '@poppypond/telemetry';
 import type { AdminSettings } from './settings.js';
 
-/** What the handlers of the admin program share. */
+/** Dependencies shared by the HTTP handlers of the admin program. */
 export interface AdminContext {
   readonly settings: AdminSettings;
   readonly clock: Clock;
--- a/packages/admin/src/fleet/app.ts
+++ b/packages/admin/src/fleet/app.ts
@@ -20,7 +20,7 @@
   peers: z.array(z.looseObject({ host: z.string(), callerUrl: z.string() })),
 });
 
-/** A host of the fleet and what it says of itself. */
+/** A host's address and the status that it reports; undefined if the host is unreachable or its response is invalid. */
 interface HostStatus {
   readonly url: string;
   readonly status: z.infer<typeof statusSchema> | undefined;
@@ -37,7 +37,7 @@
   return { url, status: parsed.success ? parsed.data : undefined };
 }
 
-/** Asks every host that can be found from the gateways in the settings. */
+/** Queries the gateways in the settings and all peers that they report. */
 async function fetchFleetStatus(gateways: readonly string[]): Promise<readonly HostStatus[]> {
   const gatewayStatuses = await Promise.all(gateways.map(fetchHostStatus));
   const gatewayUrls = new Set(gateways);
@@ -60,7 +60,7 @@
   sendJson(route.response, 200, { revision, hosts: hosts.map(summarizeHost) });
 }
 
-/** Answers when every live host has the revision in force, or when the time is up. */
+/** Responds when all reachable hosts have applied the revision, or with a fault after the timeout. */
 async function waitForRevision(context: AdminContext, route: RouteContext): Promise<void> {
   const wanted = Number(route.params['revision']);
   const timeoutMs: Milliseconds = Number(route.query.get('timeout') ?? DEFAULT_WAIT_MS);
@@ -75,7 +75,10 @@
     }
     if (context.clock.monotonicMs() > deadlineMs) {
       const names = behind.map(({ url }) => url).join(' ');
-      return sendFault(route.response, fault('wait_timeout', `behind: ${names}`));
+      return sendFault(
+        route.response,
+        fault('wait_timeout', `hosts behind the revision: ${names}`),
+      );
     }
     await new Promise<void>((resolve) => {
       context.clock.after(POLL_PERIOD_MS, resolve);
@@ -83,7 +86,7 @@
   }
 }
 
-/** Passes a question about decisions to a gateway, with the operator's own key. */
+/** Forwards a query about decisions to the first gateway that responds, with the operator's own key. */
 async function explain(context: AdminContext, route: RouteContext, path: string): Promise<void> {
   const authorization = route.request.headers.authorization ?? '';
   for (const gateway of context.settings.gateways) {
@@ -98,10 +101,10 @@
     route.response.end(reply.value.body);
     return;
   }
-  sendFault(route.response, fault('no_backend', 'no gateway answers'));
+  sendFault(route.response, fault('no_backend', 'no gateway responded'));
 }
 
-/** Registers the paths about hosts and decisions. */
+/** Registers the paths that report hosts and explain decisions. */
 export function addFleetRoutes(router: Router, context: AdminContext): void {
   router
     .on(
--- a/packages/admin/src/objects/app.ts
+++ b/packages/admin/src/objects/app.ts
@@ -14,7 +14,7 @@
 import type { RouteContext, Router } from '@poppypond/web';
 import { z } from 'zod';
 import { guard } from '../access/guard.js';
-import { checkMayChange } from '../access/operator.js';
+import { checkChangeAllowed } from '../access/operator.js';
 import type { Operator } from '../access/operator.js';
 import type { AdminContext } from '../context.js';
 import { diffObjects } from './diff.js';
@@ -26,13 +26,13 @@
 /** The body of `POST /v1/apply`. */
 export const applySchema = z.strictObject({
   why: z.string().min(1).max(500),
-  /** The same change sent again has one effect. */
+  /** A change that is sent again with the same identifier takes effect only once. */
   changeId: z.string().min(1).max(64).optional(),
   dryRun: z.boolean().default(false),
   objects: z.array(z.unknown()).max(MAX_OBJECTS).default([]),
-  /** `kind/name` of objects to delete. */
+  /** Objects to delete, as `kind/name`. */
   deletes: z.array(z.string()).max(MAX_OBJECTS).default([]),
-  /** `kind/name` to the revision that the operator saw; 0 where it must be new. */
+  /** Maps `kind/name` to the revision that the object must have; 0 requires that the object does not exist. */
   expected: z.record(z.string(), z.int().nonnegative()).default({}),
 });
 
@@ -45,11 +45,14 @@
 function listObjects(context: AdminContext, route: RouteContext): void {
   const kind = route.query.get('kind');
   if (kind !== null && !isObjectKind(kind)) {
-    return sendFault(route.response, fault('bad_field', 'not a kind', { path: 'kind' }));
+    return sendFault(route.response, fault('bad_field', 'unknown object kind', { path: 'kind' }));
   }
   const selector = parseSelector(route.query.get('selector') ?? '');
   if (!selector) {
-    return sendFault(route.response, fault('bad_field', 'malformed', { path: 'selector' }));
+    return sendFault(
+      route.response,
+      fault('bad_field', 'malformed label selector', { path: 'selector' }),
+    );
   }
   const { current } = context.reader.holder;
   const objects = current
@@ -94,13 +97,13 @@
 ) {
   for (const { id, after } of writes) {
     const before = current.objects.get(id)?.object;
-    const problem = checkMayChange(operator, before, after ?? undefined);
+    const problem = checkChangeAllowed(operator, before, after ?? undefined);
     if (problem) return problem;
   }
   return undefined;
 }
 
-/** Makes a change and answers with its revision, differences and warnings. */
+/** Applies a change and responds with its revision, differences and warnings. A dry run stores nothing. */
 async function applyWrites(
   context: AdminContext,
   route: RouteContext,
@@ -152,12 +155,15 @@
   const why = route.query.get('why') ?? '';
   const body = applySchema.safeParse({ why, deletes: [id] });
   if (!body.success) {
-    return sendFault(route.response, fault('bad_field', 'say why', { path: 'why' }));
+    return sendFault(
+      route.response,
+      fault('bad_field', 'why must have 1 to 500 characters', { path: 'why' }),
+    );
   }
   await applyWrites(context, route, operator, body.data, []);
 }
 
-/** Registers the paths of the operators' objects. */
+/** Registers the paths that read and change configuration objects. */
 export function addObjectRoutes(router: Router, context: AdminContext): void {
   router
     .on(
--- a/packages/admin/src/objects/diff.ts
+++ b/packages/admin/src/objects/diff.ts
@@ -1,6 +1,6 @@
 import type { ConfigObject } from '@poppypond/objects';
 
-/** One field that differs. */
+/** A field that differs, with its values as JSON; null if the field is absent. */
 export interface FieldChange {
   readonly path: string;
   readonly before: string | null;
@@ -17,7 +17,7 @@
   into.set(path, JSON.stringify(value));
 }
 
-/** The fields that differ between two objects; null stands for an object that isn't there. */
+/** Returns the fields that differ between two objects; null stands for an absent object. */
 export function diffObjects(
   before: ConfigObject | null,
   after: ConfigObject | null,
--- a/packages/admin/src/openapi.test.ts
+++ b/packages/admin/src/openapi.test.ts
@@ -32,7 +32,7 @@
 }
 
 describe('openapi.json', () => {
-  it('describes exactly the paths that the program serves', () => {
+  it('describes exactly the paths that the router serves', () => {
     const described = Object.entries(document.paths).flatMap(([path, methods]) =>
       Object.keys(methods).map((method) => {
         const pattern = path.replaceAll(/\{(\w+)\}/g, ':$1');
@@ -42,7 +42,7 @@
     expect([...described].sort()).toEqual([...routerPaths()].sort());
   });
 
-  it('holds the schemas that the program checks with', () => {
+  it('contains the schemas that validate requests', () => {
     const { Apply, Object: object } = document.components.schemas;
     expect(Apply).toEqual(z.toJSONSchema(applySchema, { io: 'input' }));
     expect(object).toEqual(z.toJSONSchema(objectSchema, { io: 'input' }));
--- a/packages/controller/src/cleanup/cleanup.ts
+++ b/packages/controller/src/cleanup/cleanup.ts
@@ -3,10 +3,10 @@
 
 const DECISIONS_PREFIX = 'decisions/';
 const TIME_DIGITS = 14;
-/** Deletions in one round, so that clean-up never takes the store's write budget. */
+/** Bounds the deletions of one run, so that cleanup does not use up the store's write budget. */
 const MAX_DELETES_PER_RUN = 200;
 
-/** Deletes what was kept for its stated time. One page of the ledger for each round. */
+/** Deletes ledger rows and decision records after their retention times. Each run scans one page of the ledger. */
 export class Cleanup {
   #after = '';
 
--- a/packages/controller/src/commands.ts
+++ b/packages/controller/src/commands.ts
@@ -6,7 +6,8 @@
 
 /** The only command of `poppypond-controller`. */
 export const controllerCommand = defineCommand({
-  description: 'Load models on engines, set roles and sweep engine memory, under leases.',
+  description:
+    'Load models on engines, set engine roles and release unused engine memory, under leases.',
   shape: controllerShape,
   main: async (settings) => {
     const log = createLog({ program: 'controller', host: settings.host }, settings.logLevel);
--- a/packages/controller/src/context.ts
+++ b/packages/controller/src/context.ts
@@ -3,7 +3,7 @@
 import type { Log, Metrics } from '@poppypond/telemetry';
 import type { ControllerSettings } from './settings.js';
 
-/** What the parts of the controller share. */
+/** Dependencies shared by the components of the controller. */
 export interface ControllerContext {
   readonly settings: ControllerSettings;
   readonly clock: Clock;
--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -21,7 +21,7 @@
 const DECISION_FLUSH_MS = 1000;
 const FLEET_LEASE = 'fleet';
 
-/** A controller that runs. */
+/** A running controller. */
 export interface RunningController {
   readonly url: string;
   stop(): Promise<void>;
@@ -52,7 +52,7 @@
   };
 }
 
-/** The pools of the configuration, each with its lease and control. */
+/** One `PoolController` with its own lease for each pool of the configuration. */
 class PoolControllers {
   readonly #pools = new Map<string, PoolController>();
 
@@ -79,7 +79,10 @@
   }
 }
 
-/** Runs work that one controller of the fleet does at a time: sweep and clean-up. */
+/**
+ * Starts the timers of the work that only the holder of the fleet lease does: memory sweep and cleanup. The timers
+ * that renew the lease and flush decision records run on every controller.
+ */
 function startFleetWork(context: ControllerContext, lease: Lease): readonly CancelTimer[] {
   const { clock, settings } = context;
   const sweep = new MemorySweep(context);
@@ -104,7 +107,7 @@
   ];
 }
 
-/** Starts a controller: a candidate for the lease of each pool. */
+/** Starts a controller, which competes for the fleet lease and for the lease of each pool. */
 export async function startController(
   settings: ControllerSettings,
   clock: Clock,
--- a/packages/controller/src/models/plan-orders.ts
+++ b/packages/controller/src/models/plan-orders.ts
@@ -1,36 +1,36 @@
 import type { EngineCommand } from '@poppypond/backend';
 import type { Milliseconds } from '@poppypond/core';
 
-/** An engine as the plan sees it. */
+/** State of an engine that planning depends on. */
 export interface PlannedEngine {
   readonly name: string;
   readonly role: 'any' | 'long' | 'short';
-  /** Model to version. */
+  /** Maps model names to versions. */
   readonly models: Readonly<Record<string, string>>;
   readonly isLeaving: boolean;
 }
 
-/** What operators want of a model in this pool. */
+/** Desired state of a model in a pool. */
 export interface DesiredModel {
   readonly name: string;
   readonly version: string;
   readonly adapters: readonly string[];
   readonly minEngines: number;
   readonly maxEngines: number;
-  /** Engines that the present demand needs. */
+  /** Number of engines that the current demand needs. */
   readonly neededEngines: number;
-  /** Engines in the order in which the model takes them. */
+  /** Engine names in the order in which the model is placed on them. */
   readonly order: readonly string[];
 }
 
-/** An order for one engine, and why. */
+/** A command for one engine and the reason for it. */
 export interface PlannedCommand {
   readonly engine: string;
   readonly order: EngineCommand;
   readonly why: string;
 }
 
-/** The engines that should hold a model, as many as demand needs within the limits. */
+/** Returns the engines that should hold a model: as many as the demand needs, between `minEngines` and `maxEngines`. */
 export function chooseHolders(
   model: DesiredModel,
   engines: readonly PlannedEngine[],
@@ -41,8 +41,8 @@
 }
 
 /**
- * The next load for a model: engines without it first, then one engine with another version.
- * One at a time, so that a rollout never takes the model away from two engines at once.
+ * Returns the next load command for a model: for an engine without the model first, then for one with another version.
+ * Only one command is planned at a time, so that a rollout never makes the model unavailable on two engines at once.
  */
 export function planLoad(
   model: DesiredModel,
@@ -56,11 +56,14 @@
   const engine = missing ?? outdated;
   if (engine === undefined) return undefined;
   const { name, version, adapters } = model;
-  const why = missing === undefined ? `replaces version ${versionOf(engine) ?? ''}` : 'is wanted';
+  const why =
+    missing === undefined
+      ? `replaces version ${versionOf(engine) ?? ''}`
+      : 'the model is not loaded';
   return { engine, order: { kind: 'load-model', model: name, version, adapters }, why };
 }
 
-/** Unloads a model from an engine that needn't hold it, while enough others do. */
+/** Returns an unload command for an engine that need not hold the model, if more engines hold it than needed. */
 export function planUnload(
   model: DesiredModel,
   engines: readonly PlannedEngine[],
@@ -72,10 +75,13 @@
   if (!surplus) return undefined;
   const version = surplus.models[model.name] ?? model.version;
   const order: EngineCommand = { kind: 'unload-model', model: model.name, version };
-  return { engine: surplus.name, order, why: 'demand is low' };
+  return { engine: surplus.name, order, why: 'demand needs fewer engines' };
 }
 
-/** The first engine whose role differs from what operators want. */
+/**
+ * Returns a command for the first engine whose role differs from the desired one. Short roles go to the start of
+ * `order`, long roles to its end.
+ */
 export function planRole(
   roles: { readonly short: number; readonly long: number },
   order: readonly string[],
@@ -88,12 +94,16 @@
     const isLong = index >= present.length - roles.long;
     const role = isShort ? 'short' : isLong ? 'long' : 'any';
     if (byName.get(name)?.role === role) continue;
-    return { engine: name, order: { kind: 'set-role', role }, why: `pool wants ${role}` };
+    return {
+      engine: name,
+      order: { kind: 'set-role', role },
+      why: `the pool assigns role ${role}`,
+    };
   }
   return undefined;
 }
 
-/** Lets a number rise at once but fall only after it was lower for a time. */
+/** A number that rises at once but falls only after its input was lower for `decreaseAfterMs`. */
 export class DelayedDecrease {
   #current: number;
   #lowSinceMs: Milliseconds | undefined;
--- a/packages/controller/src/models/pool-controller.ts
+++ b/packages/controller/src/models/pool-controller.ts
@@ -11,9 +11,9 @@
 import type { PlannedEngine, PlannedCommand, DesiredModel } from './plan-orders.js';
 import { readRollout, versionToLoad, writeRollout } from './rollout.js';
 
-/** Loads that may fail in a row before a version is given up. */
+/** Consecutive failed loads after which a version is marked as failed. */
 const MAX_LOAD_FAILURES = 2;
-/** Prefill that one engine is planned to do, as a share of its time. */
+/** Share of its time that an engine is planned to spend on prefill. */
 const TARGET_BUSY_SHARE = 0.6;
 
 interface PoolView {
@@ -21,11 +21,11 @@
   readonly engines: readonly PlannedEngine[];
   readonly urls: ReadonlyMap<string, string>;
   readonly allCheckFencing: boolean;
-  /** Share of the engines that were prefilling when they were asked. */
+  /** Share of the engines that reported pending prefill tokens. */
   readonly busyShare: number;
 }
 
-/** Controls the engines of one pool while this host holds the pool's lease. */
+/** Reconciles models and roles of the engines of one pool while this host holds the pool's lease. */
 export class PoolController {
   readonly lease: Lease;
   readonly #neededByModel = new Map<string, DelayedDecrease>();
@@ -56,7 +56,7 @@
     await this.lease.release();
   }
 
-  /** Looks at the pool once and sends at most one order for each model and for roles. */
+  /** Runs one reconciliation, which sends at most one command for each model and one for roles. */
   async reconcile(): Promise<void> {
     if (this.#isReconciling) return;
     this.#isReconciling = true;
@@ -103,8 +103,8 @@
   }
 
   /**
-   * Where an engine doesn't check fencing tokens, a new holder sends nothing until every order
-   * of the last holder is void.
+   * Whether a new lease holder must not send commands yet: if an engine of the pool does not check fencing tokens, it
+   * waits until all commands of the previous holder have expired.
    */
   #isInGracePeriod(held: HeldLease, view: PoolView): boolean {
     const now = this.context.clock.monotonicMs();
@@ -143,7 +143,7 @@
     }
   }
 
-  /** Engines that the present demand needs; all, where no other model wants the room. */
+  /** Returns how many engines the current demand needs: all if the models of the pool do not compete for engines. */
   #neededEngines(view: PoolView, model: string, isContended: boolean): number {
     if (!isContended) return view.urls.size;
     const holderCount = view.engines.filter((engine) => model in engine.models).length;
@@ -195,7 +195,7 @@
     await writeRollout(table, this.name, name, { good, failed: version }, rowVersion);
   }
 
-  /** Sends an order if the lease is still held now; the order is void when the lease may lapse. */
+  /** Sends a command if this host still holds the lease. The command expires no later than the lease. */
   async #send(view: PoolView, planned: PlannedCommand) {
     const held = this.lease.held();
     const url = view.urls.get(planned.engine);
--- a/packages/controller/src/models/rollout.ts
+++ b/packages/controller/src/models/rollout.ts
@@ -3,16 +3,16 @@
 import { z } from 'zod';
 
 const rolloutSchema = z.object({
-  /** The last version that was wanted and held by every holder. */
+  /** The last wanted version that all designated engines have loaded. */
   good: z.string(),
-  /** A version that failed to load; it is not tried again until the model object changes. */
+  /** A version that failed to load; it is not retried until the model object names another version. */
   failed: z.string().nullable(),
 });
 
-/** What is known of a model's versions in a pool; kept in the table. */
+/** Rollout state of a model in a pool, as stored in the table. */
 export type Rollout = z.infer<typeof rolloutSchema>;
 
-/** A rollout with the version of its row. */
+/** Rollout state with the version of its table row; undefined and version 0 if there is no row. */
 export interface StoredRollout {
   readonly rollout: Rollout | undefined;
   readonly rowVersion: number;
@@ -22,7 +22,7 @@
   return `rollout/${pool}/${model}`;
 }
 
-/** Reads a rollout. */
+/** Reads the rollout state of a model in a pool. */
 export async function readRollout(
   table: TableStore,
   pool: string,
@@ -35,7 +35,7 @@
   }));
 }
 
-/** Writes a rollout; a conflict means that another holder has written since. */
+/** Writes rollout state. Returns false if the write failed or another holder changed the row since it was read. */
 export async function writeRollout(
   table: TableStore,
   pool: string,
@@ -51,7 +51,7 @@
   return sent.isOk && sent.value.kind === 'applied';
 }
 
-/** The version to load: the wanted one, or the last good one where the wanted one failed. */
+/** Returns the version to load: the wanted one, or the last good one if the wanted one failed. */
 export function versionToLoad(wanted: string, rollout: Rollout | undefined): string {
   return rollout?.failed === wanted ? rollout.good : wanted;
 }
--- a/packages/controller/src/sweep/judge-reservation.test.ts
+++ b/packages/controller/src/sweep/judge-reservation.test.ts
@@ -15,8 +15,8 @@
 };
 const owner = { host: 'host-1', incarnation: 'aaaa' };
 
-describe('judgeReservation', () => {
-  it('never releases what a paused or claiming owner may need', () => {
+describe('findReleaseReason', () => {
+  it('returns undefined for a reservation that a paused or claiming owner may need', () => {
     expect(findReleaseReason(held, undefined)).toBeUndefined();
     expect(findReleaseReason(held, { owner, isClaimed: true })).toBeUndefined();
     expect(
@@ -27,14 +27,14 @@
     expect(findReleaseReason(held, { owner: other, isClaimed: false })).toBeUndefined();
   });
 
-  it('releases what its owner disclaims, what a replaced run held, and what is out of time', () => {
+  it('allows a release if the owner disclaims it, was replaced, or the time limit has passed', () => {
     expect(findReleaseReason(held, { owner, isClaimed: false })).toBe('owner_disclaims');
     const next = { host: 'host-1', incarnation: 'bbbb' };
     expect(findReleaseReason(held, { owner: next, isClaimed: false })).toBe('owner_replaced');
     expect(findReleaseReason({ ...held, timeRemainingMs: 0 }, undefined)).toBe('time_limit_passed');
   });
 
-  it('needs two looks without a renewal in between', () => {
+  it('requires two passes without a renewal in between', () => {
     expect(isUnchanged(undefined, held)).toBe(false);
     expect(isUnchanged({ ...held, renewals: 2 }, held)).toBe(false);
     expect(isUnchanged(held, held)).toBe(true);
--- a/packages/controller/src/sweep/judge-reservation.ts
+++ b/packages/controller/src/sweep/judge-reservation.ts
@@ -2,19 +2,19 @@
 import { formatOwner, parseOwner } from '@poppypond/core';
 import type { Owner } from '@poppypond/core';
 
-/** What a host said of a reservation: who it is now, and whether it still uses it. */
+/** Response of a host about a reservation: its own present identity, and whether it still uses the memory. */
 export interface ClaimResponse {
   readonly owner: Owner;
   readonly isClaimed: boolean;
 }
 
-/** Why a reservation may be released; undefined where its request may still need it. */
+/** Why a reservation may be released. */
 export type ReleaseReason = 'owner_replaced' | 'owner_disclaims' | 'time_limit_passed';
 
 /**
- * A reservation that nobody renews is released only when it is certain that no live request
- * needs it: its owner says so, its host runs another incarnation, or its time limit has passed.
- * Silence proves nothing: the owner may be paused and wake up.
+ * Returns why an expired reservation may be released, or undefined if a live request may still need it. It may be
+ * released only if its owner disclaims it, if its host runs another incarnation, or if its time limit has passed. A
+ * missing response is no reason for release: the owner may be paused and resume later.
  */
 export function findReleaseReason(
   held: MemoryReservation,
@@ -28,7 +28,7 @@
   return answer.isClaimed ? undefined : 'owner_disclaims';
 }
 
-/** Whether a reservation is as it was at the look before: the second look that a release needs. */
+/** Whether a reservation has the same owner as in the previous pass and no renewal since, which a release requires. */
 export function isUnchanged(
   before: MemoryReservation | undefined,
   now: MemoryReservation,
--- a/packages/controller/src/sweep/memory-sweep.ts
+++ b/packages/controller/src/sweep/memory-sweep.ts
@@ -16,13 +16,13 @@
   peers: z.array(z.object({ host: z.string(), callerUrl: z.string() })),
 });
 
-/** Releases engine memory that no live request needs, in two looks. */
+/** Releases engine memory that no live request needs and that was not renewed between two passes. */
 export class MemorySweep {
   #previous = new Map<string, MemoryReservation>();
 
   constructor(readonly context: ControllerContext) {}
 
-  /** One look at every engine. */
+  /** Runs one pass over all engines. */
   async run(engines: readonly Versioned<'backend-server'>[]): Promise<void> {
     const hosts = await this.#findHosts();
     const seen = new Map<string, MemoryReservation>();
@@ -73,7 +73,7 @@
     });
   }
 
-  /** Host name to address, from the gateways in the settings and the peers they know. */
+  /** Maps host names to addresses, from the gateways in the settings and the peers that they report. */
   async #findHosts(): Promise<ReadonlyMap<string, string>> {
     const hosts = new Map<string, string>();
     const replies = await Promise.all(
