--- a/packages/cli/src/api-command.ts
+++ b/packages/cli/src/api-command.ts
@@ -6,7 +6,7 @@
 const EXIT_FAILED = 1;
 const EXIT_USAGE = 2;
 
-/** A command over the operators' API. */
+/** Base class of commands that call the operators' API. */
 export abstract class ApiCommand extends Command {
   readonly apiUrl = Option.String('--admin', 'http://127.0.0.1:8090', {
     env: 'POPPYPOND_ADMIN',
@@ -18,7 +18,7 @@
     description: "the operator's key [POPPYPOND_KEY]",
   });
 
-  readonly json = Option.Boolean('--json', false, { description: 'print JSON for a program' });
+  readonly json = Option.Boolean('--json', false, { description: 'print JSON instead of text' });
 
   protected call(
     method: 'GET' | 'POST' | 'DELETE',
@@ -38,7 +38,7 @@
     return EXIT_FAILED;
   }
 
-  /** Prints a reply as JSON or for a person. */
+  /** Prints a reply as JSON with `--json`, else as formatted text. Returns the exit code. */
   protected show<Schema extends z.ZodType>(
     reply: Result<unknown, string>,
     schema: Schema,
--- a/packages/cli/src/api.ts
+++ b/packages/cli/src/api.ts
@@ -3,7 +3,7 @@
 import { Result } from 'true-myth';
 import { z } from 'zod';
 
-/** Where the operators' API is and who asks. */
+/** Address of the operators' API and the key of the operator that calls it. */
 export interface ApiAccess {
   readonly url: string;
   readonly key: string;
@@ -16,7 +16,7 @@
   error: z.object({ code: z.string(), message: z.string(), number: z.number() }),
 });
 
-/** Calls the operators' API; the error is one line. */
+/** Calls the operators' API. Returns the parsed JSON response, or a one-line error message. */
 export async function callApi(
   access: ApiAccess,
   method: 'GET' | 'POST' | 'DELETE',
--- a/packages/cli/src/commands.ts
+++ b/packages/cli/src/commands.ts
@@ -10,7 +10,7 @@
 
 const fileSchema = z.union([z.array(z.unknown()), z.object({ objects: z.array(z.unknown()) })]);
 
-/** The objects in a file of JSON; undefined if it is not a list of objects. */
+/** Reads a JSON file that holds a list of objects or has one in its field `objects`. Returns undefined otherwise. */
 function readObjects(file: string): readonly unknown[] | undefined {
   const parsed = fileSchema.safeParse(parseJson(readFileSync(file, 'utf8')));
   if (!parsed.success) return undefined;
@@ -47,26 +47,29 @@
   static override paths = [['apply']];
   static override usage = Command.Usage({
     description: 'Create or change the objects in a file, all or none.',
-    examples: [['Apply and wait for every host', 'poppypond apply rules.json --why "more" --wait']],
+    examples: [['Apply and wait for all hosts', 'poppypond apply rules.json --why "more" --wait']],
   });
 
   readonly file = Option.String();
   readonly why = Option.String('--why', { description: 'the reason, for the audit trail' });
   readonly changeId = Option.String('--change-id', {
-    description: 'sent again with the same id, a change has one effect',
+    description:
+      'identifier of the change; a change that is sent again with it takes effect only once',
   });
   readonly expect = Option.Array('--expect', [], {
-    description: 'KIND/NAME=REVISION that the object must have; 0: must be new',
+    description: 'KIND/NAME=REVISION that the object must have; 0 if it must not exist',
+  });
+  readonly dryRun = Option.Boolean('--dry-run', false, {
+    description: 'show the differences and change nothing',
   });
-  readonly dryRun = Option.Boolean('--dry-run', false, { description: 'change nothing' });
   readonly wait = Option.Boolean('--wait', false, {
-    description: 'return when every live host has the change in force',
+    description: 'wait until all reachable hosts have applied the change',
   });
 
   override async execute(): Promise<number> {
     const objects = readObjects(this.file);
     if (!objects) return this.usage(`${this.file}: not a JSON list of objects`);
-    if (this.why === undefined && !this.dryRun) return this.usage('--why: say why');
+    if (this.why === undefined && !this.dryRun) return this.usage('--why: a reason is required');
     const expected = this.expect.map((text) => text.split('='));
     const reply = await this.call('POST', '/v1/apply', {
       why: this.why ?? 'dry run',
@@ -107,7 +110,7 @@
   readonly why = Option.String('--why', { description: 'the reason, for the audit trail' });
 
   override async execute(): Promise<number> {
-    if (this.why === undefined) return this.usage('--why: say why');
+    if (this.why === undefined) return this.usage('--why: a reason is required');
     const path = `/v1/objects/${this.id}?${buildQuery({ why: this.why })}`;
     return this.show(await this.call('DELETE', path), applyReply, formatApply);
   }
@@ -146,7 +149,7 @@
 class StatusCommand extends ApiCommand {
   static override paths = [['status']];
   static override usage = Command.Usage({
-    description: 'Show the hosts and the revision in force on each.',
+    description: 'Show the hosts and the revision that each has applied.',
   });
 
   override async execute(): Promise<number> {
@@ -157,11 +160,11 @@
 class ExplainCommand extends ApiCommand {
   static override paths = [['explain']];
   static override usage = Command.Usage({
-    description: 'Say why something was decided, by request or by label.',
+    description: 'Explain decisions, by request or by label.',
     examples: [
       ['One request', 'poppypond explain regina-1.mabc.0123456789ab'],
       [
-        'All of a workspace',
+        'All requests of a workspace',
         'poppypond explain --selector workspace=farms --from 2026-12-02T10:00Z',
       ],
     ],
@@ -174,7 +177,7 @@
 
   override async execute(): Promise<number> {
     if (this.request === undefined && this.selector === undefined) {
-      return this.usage('explain: give a request or --selector');
+      return this.usage('explain: a request or --selector is required');
     }
     const { selector, request } = this;
     const range = { from: toUnixMs(this.from), to: toUnixMs(this.to) };
@@ -186,7 +189,7 @@
   }
 }
 
-/** The commands of `poppypond`. */
+/** All commands of `poppypond`. */
 export const operatorCommands = [
   LossesCommand,
   WhyCommand,
--- a/packages/cli/src/format.ts
+++ b/packages/cli/src/format.ts
@@ -7,7 +7,7 @@
     .join(',');
 }
 
-/** Lines of columns, padded to the widest entry of each. */
+/** Formats rows as columns, each padded to its widest cell. */
 function formatTable(rows: readonly (readonly string[])[]): string {
   const widths: number[] = [];
   for (const row of rows) {
@@ -25,7 +25,7 @@
     .join('\n');
 }
 
-/** A table of objects. */
+/** Formats objects as a table. */
 export function formatObjects(reply: z.infer<typeof objectsReply>): string {
   const rows = reply.objects.map(({ kind, name, revision, labels }) => [
     kind,
@@ -36,20 +36,20 @@
   return formatTable([['KIND', 'NAME', 'REVISION', 'LABELS'], ...rows]);
 }
 
-/** The differences of a change, and its warnings. */
+/** Formats the differences and warnings of a change, and its revision. */
 export function formatApply(reply: z.infer<typeof applyReply>): string {
   const lines = reply.diff.flatMap(({ id, fields }) => [
     fields.length > 0 ? id : `${id} (unchanged)`,
     ...fields.map(({ path, before, after }) => `  ${path}: ${before ?? '-'} -> ${after ?? '-'}`),
   ]);
   const warnings = reply.warnings.map((warning) => `warning: ${warning}`);
-  const repeat = reply.isRepeat ? ' (was accepted before)' : '';
+  const repeat = reply.isRepeat ? ' (already accepted)' : '';
   const end =
     reply.revision === undefined ? 'dry run' : `revision ${String(reply.revision)}${repeat}`;
   return [...lines, ...warnings, end].join('\n');
 }
 
-/** The audit trail, a line for each change of an object. */
+/** Formats the audit trail as a table with one line for each change of an object. */
 export function formatAudit(reply: z.infer<typeof auditReply>): string {
   const rows = reply.rows.flatMap(({ revision, wallMs, operator, why, changes }) =>
     changes.map(({ id, before, after }) => {
@@ -60,7 +60,7 @@
   return formatTable([['REVISION', 'TIME', 'OPERATOR', 'WHAT', 'OBJECT', 'WHY'], ...rows]);
 }
 
-/** The hosts and the revision in force on each. */
+/** Formats the hosts and the configuration revision that each has applied. */
 export function formatStatus(reply: z.infer<typeof statusReply>): string {
   const rows = reply.hosts.map((host) => [
     host.host ?? host.url,
@@ -74,7 +74,7 @@
   return `newest revision ${String(reply.revision)}\n${formatTable([header, ...rows])}`;
 }
 
-/** Decisions for a person: what was chosen, by which rule, on what state, over what. */
+/** Formats decisions as text: the choice, its rule, the state it depended on and the rejected candidates. */
 export function formatExplain(reply: z.infer<typeof explainReply>): string {
   return reply.decisions
     .map((decision) => {
--- a/packages/cli/src/log-lines.ts
+++ b/packages/cli/src/log-lines.ts
@@ -1,11 +1,11 @@
 import { readFileSync } from 'node:fs';
 
-/** One log line, by its keys. */
+/** The fields of a log line by their keys. */
 export type LogLine = Readonly<Record<string, string>>;
 
 const PAIR = /([a-z_]+)=("(?:[^"\\]|\\.)*"|\S+)/g;
 
-/** Reads a line of key=value pairs; whatever stands before the first pair is passed over. */
+/** Parses a line of key=value pairs. Text before the first pair is ignored. */
 export function parseLine(text: string): LogLine {
   const pairs = [...text.matchAll(PAIR)].map(([, key = '', value = '']) => {
     const unquoted = value.startsWith('"') ? value.slice(1, -1).replaceAll('\\"', '"') : value;
@@ -14,12 +14,12 @@
   return Object.fromEntries(pairs);
 }
 
-/** Order of two lines by the time at which they were written. */
+/** Compares two log lines by time, for use with `sort`. */
 export function compareByTime(left: LogLine, right: LogLine): number {
   return (left['time'] ?? '').localeCompare(right['time'] ?? '');
 }
 
-/** All lines of log files, in the order of the files. */
+/** Reads the lines that contain an event from log files, in the order of the files. */
 export function readLogs(files: readonly string[]): readonly LogLine[] {
   return files.flatMap((file) =>
     readFileSync(file, 'utf8')
--- a/packages/cli/src/loss-cause.ts
+++ b/packages/cli/src/loss-cause.ts
@@ -1,6 +1,6 @@
 import type { LogLine } from './log-lines.js';
 
-/** Why a request was not served in time, or that it was. */
+/** Why a request was not served in time; `in_time` if it was. */
 export type LossCause =
   | 'in_time'
   | 'refused_for_an_unproved_configuration'
@@ -18,10 +18,10 @@
   | 'late_by_a_pause'
   | 'late_call';
 
-/** What the logs say of one request. */
+/** The log lines of one request from which its cause is determined. */
 export interface RequestLines {
   readonly placed: LogLine | undefined;
-  /** The line `answered` or `refused`; undefined where the logs end or the host was lost. */
+  /** The line `answered` or `refused`; undefined if the logs end before it or the host was lost. */
   readonly end: LogLine | undefined;
 }
 
@@ -57,7 +57,7 @@
   return isLate ? causeOfLateStart(placed, firstEventMs, aimMs) : 'late_by_a_pause';
 }
 
-/** Why one request was not served in time. */
+/** Returns why a request was not served in time, or `in_time`. */
 export function lossCause({ placed, end }: RequestLines): LossCause {
   if (!end) return 'lost_with_its_host';
   if (end['event'] === 'refused') {
--- a/packages/cli/src/losses.test.ts
+++ b/packages/cli/src/losses.test.ts
@@ -17,11 +17,11 @@
     ['first_event_ms=120 longest_pause_ms=700', 'late_by_a_pause'],
     ['first_event_ms=900 longest_pause_ms=90', 'late_behind_other_reads'],
     ['first_event_ms=305 longest_pause_ms=90', 'late_in_the_queue'],
-  ])('judges an answer with %s as %s', (more, cause) => {
+  ])('classifies a response with %s as %s', (more, cause) => {
     expect(lossCause({ placed: PLACED, end: answered(more) })).toBe(cause);
   });
 
-  it('tells what was foreseen to be late, retried, refused, left or lost', () => {
+  it('classifies late, retried, refused, cancelled and lost requests', () => {
     const late = answered('first_event_ms=900 longest_pause_ms=0');
     const slow = { ...PLACED, expected_ms: '800' };
     expect(lossCause({ placed: slow, end: late })).toBe('late_as_foreseen');
@@ -51,8 +51,8 @@
   });
 });
 
-describe('divideLosses', () => {
-  it('counts by span of time, size and cause, and leaves out what was not owed', () => {
+describe('countLosses', () => {
+  it('counts by time interval, size and cause, and skips invalid requests', () => {
     const lines = [
       'time=2026-01-01T00:00:01.000Z event=placed request=a tokens=200000',
       'time=2026-01-01T00:00:02.000Z event=placed request=b tokens=5000',
--- a/packages/cli/src/losses.ts
+++ b/packages/cli/src/losses.ts
@@ -6,9 +6,9 @@
 import { compareByTime, readLogs } from './log-lines.js';
 import type { LogLine } from './log-lines.js';
 
-/** Requests of one size that ended alike within one span of time. */
+/** Number of requests of one size and cause that began in one time interval. */
 export interface LossRow {
-  /** Start of the span, as in the logs. */
+  /** Start of the interval, as an ISO time in UTC. */
   readonly from: string;
   readonly size: 'call' | PromptSize;
   readonly cause: LossCause;
@@ -16,7 +16,7 @@
 }
 
 const MS_PER_SECOND = 1000;
-/** Answers to callers that asked for what they may not have are no losses. */
+/** Result codes of invalid requests. They are the fault of the caller and are not counted. */
 const CLIENT_ERROR_CODES: ReadonlySet<string> = new Set([
   'unauthenticated',
   'unknown_route',
@@ -34,7 +34,7 @@
   return new Date(startMs).toISOString();
 }
 
-/** Divides all requests of the logs by span of time, size and cause, in that order. */
+/** Counts the requests in the logs by time interval, size and cause. Rows are sorted in that order. */
 export function countLosses(
   lines: readonly LogLine[],
   intervalSeconds: number,
@@ -61,24 +61,26 @@
   return [...counts].sort(([left], [right]) => (left < right ? -1 : 1)).map(([, row]) => row);
 }
 
-/** `poppypond losses`: tells where an installation lost time, by moment, size of prompt and cause. */
+/** `poppypond losses`: counts the requests of a cluster by time, prompt size and why they were not served in time. */
 export class LossesCommand extends Command {
   static override paths = [['losses']];
   static override usage = Command.Usage({
-    description: "Divide the requests of the hosts' logs by moment, size and why they were late.",
-    examples: [['An hour by minutes', 'poppypond losses --every 60 --logs a.log --logs b.log']],
+    description: "Count the requests in the hosts' logs by time, size and why they were late.",
+    examples: [['Count by minute', 'poppypond losses --every 60 --logs a.log --logs b.log']],
   });
 
   readonly logs = Option.Array('--logs', {
     required: true,
     description: 'a log file; may be repeated',
   });
-  readonly every = Option.String('--every', '10', { description: 'span of time in seconds' });
+  readonly every = Option.String('--every', '10', {
+    description: 'length of a time interval in seconds',
+  });
 
   override execute(): Promise<number> {
     const intervalSeconds = Number(this.every);
     if (!(intervalSeconds > 0)) {
-      this.context.stderr.write('--every: not a number of seconds above 0\n');
+      this.context.stderr.write('--every: must be a number of seconds above 0\n');
       return Promise.resolve(1);
     }
     for (const row of countLosses(readLogs(this.logs), intervalSeconds)) {
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -13,7 +13,7 @@
   process.exitCode = await cli.run(command, Cli.defaultContext);
 } catch (error) {
   const [line] = (error instanceof Error ? error.message : String(error)).split('\n');
-  process.stderr.write(`poppypond: ${line ?? 'wrong command line'}\n`);
+  process.stderr.write(`poppypond: ${line ?? 'invalid command line'}\n`);
   process.exitCode = EXIT_USAGE;
 }
 closeIdleConnections();
--- a/packages/cli/src/replies.ts
+++ b/packages/cli/src/replies.ts
@@ -7,7 +7,7 @@
   revision: z.number(),
 });
 
-/** The reply of `GET /v1/objects`. */
+/** Schema of the response of `GET /v1/objects`. */
 export const objectsReply = z.object({ revision: z.number(), objects: z.array(objectSchema) });
 
 const fieldSchema = z.object({
@@ -16,7 +16,7 @@
   after: z.string().nullable(),
 });
 
-/** The reply of `POST /v1/apply`. */
+/** Schema of the response of `POST /v1/apply`. */
 export const applyReply = z.object({
   revision: z.number().optional(),
   isRepeat: z.boolean().optional(),
@@ -24,7 +24,7 @@
   warnings: z.array(z.string()),
 });
 
-/** The reply of `GET /v1/audit`. */
+/** Schema of the response of `GET /v1/audit`. */
 export const auditReply = z.object({
   rows: z.array(
     z.object({
@@ -37,7 +37,7 @@
   ),
 });
 
-/** The reply of `GET /v1/status`. */
+/** Schema of the response of `GET /v1/status`. */
 export const statusReply = z.object({
   revision: z.number(),
   hosts: z.array(
@@ -53,7 +53,7 @@
   ),
 });
 
-/** The reply of `GET /v1/explain`. */
+/** Schema of the response of `GET /v1/explain`. */
 export const explainReply = z.object({
   decisions: z.array(
     z.object({
--- a/packages/cli/src/why.test.ts
+++ b/packages/cli/src/why.test.ts
@@ -15,7 +15,7 @@
     .filter((text) => text !== '')
     .map(parseLine);
 
-  it('reads pairs with and without quotes', () => {
+  it('parses pairs with and without quotes', () => {
     expect(lines[0]).toMatchObject({
       event: 'refused',
       why: 'the key is not known',
@@ -23,7 +23,7 @@
     });
   });
 
-  it('tells the story of one request with what its host had in force', () => {
+  it('shows the lines of one request after the configuration that its host had applied', () => {
     expect(buildTimeline(lines, 'r1')).toEqual([
       '2026-01-01T00:00:03.000Z  h-2  configuration_in_force  version=17 before=14',
       '2026-01-01T00:00:04.000Z  h-2  refused  code=unauthenticated why=the key is not known configuration=17 configuration_age_ms=454',
@@ -31,7 +31,7 @@
     expect(buildTimeline(lines, 'r3')).toEqual([]);
   });
 
-  it('tells which servers had said that they leave, want rest or name a limit, while that holds', () => {
+  it('shows the leaving, backoff and rate limit notices that are still in effect when the request begins', () => {
     const told = [
       'time=2026-01-01T00:00:01.000Z event=server_rests host=h-1 server=i-1 for_ms=1500',
       'time=2026-01-01T00:00:02.000Z event=server_rests host=h-1 server=i-2 for_ms=3000',
--- a/packages/cli/src/why.ts
+++ b/packages/cli/src/why.ts
@@ -11,14 +11,14 @@
   return `${time}  ${host}  ${event}  ${details.join(' ')}`;
 }
 
-/** Of the state of a host, the last line of each counts. */
+/** Events that change the state of a host. The last line of each event on a host is in effect. */
 const HOST_STATE_EVENTS: ReadonlySet<string> = new Set([
   'configuration_in_force',
   'dependency_lost',
   'dependency_regained',
   'started',
 ]);
-/** What servers said of themselves, the last line of each server counts. */
+/** Notices that servers report about themselves. The last line of each event and server on a host is in effect. */
 const NOTICE_EVENTS: ReadonlySet<string> = new Set([
   'server_leaving',
   'server_rests',
@@ -29,14 +29,17 @@
   return Date.parse(line['time'] ?? '');
 }
 
-/** Whether what `line` tells held still as `later` was written; a rest is over after its time, a limit when it is told. */
+/**
+ * Whether the state in `line` is still in effect at the time of `later`. A backoff ends after its `for_ms`; a rate
+ * limit ends with a line that reports its end.
+ */
 function isInEffectAt(line: LogLine, later: LogLine): boolean {
   if (line['event'] === 'server_limit') return line['change'] !== 'over';
   if (line['event'] !== 'server_rests') return true;
   return timestampMs(line) + Number(line['for_ms']) >= timestampMs(later);
 }
 
-/** What the hosts of a request had in force, or had been told by servers, as `first` was written. */
+/** Returns the host states and server notices that are in effect on the hosts of a request at the time of `first`. */
 function findContextLines(lines: readonly LogLine[], first: LogLine, hosts: ReadonlySet<unknown>) {
   const before = lines
     .filter((line) => hosts.has(line['host']) && compareByTime(line, first) <= 0)
@@ -52,8 +55,9 @@
 }
 
 /**
- * What logs say of one request, oldest first: its own lines, and what its hosts had in force, lost last or had
- * been told by servers before them.
+ * Returns the formatted log lines of one request, oldest first. They include the last configuration change, start, lost
+ * and regained dependency of its hosts before its first line, and the server notices in effect then. Returns no lines
+ * for an unknown request.
  */
 export function buildTimeline(lines: readonly LogLine[], request: string): readonly string[] {
   const requestLines = lines.filter((line) => line['request'] === request).sort(compareByTime);
@@ -65,12 +69,14 @@
     .map(formatLine);
 }
 
-/** `poppypond why`: tells the story of one request from the hosts' logs. */
+/** `poppypond why`: prints the timeline of one request from the hosts' logs. */
 export class WhyCommand extends Command {
   static override paths = [['why']];
   static override usage = Command.Usage({
-    description: 'Tell what the logs of the hosts say of one request.',
-    examples: [['One request over two hosts', 'poppypond why 9c41d07b --logs a.log --logs b.log']],
+    description: 'Print what the logs of the hosts report about one request.',
+    examples: [
+      ['One request that two hosts handled', 'poppypond why 9c41d07b --logs a.log --logs b.log'],
+    ],
   });
 
   readonly request = Option.String();
@@ -82,7 +88,7 @@
   override execute(): Promise<number> {
     const told = buildTimeline(readLogs(this.logs), this.request);
     if (told.length === 0) {
-      this.context.stdout.write(`no line of request ${this.request}\n`);
+      this.context.stdout.write(`the logs hold no line of request ${this.request}\n`);
       return Promise.resolve(1);
     }
     this.context.stdout.write(`${told.join('\n')}\n`);
