--- a/packages/emulator/src/commands.ts
+++ b/packages/emulator/src/commands.ts
@@ -10,7 +10,7 @@
 import { summarizeOutcomes } from './outcome.js';
 import { Simulation } from './play-day.js';
 
-/** One day's figures, as a line of JSON. */
+/** Formats the result of one simulation as a line of JSON. */
 function formatResult(
   seed: number,
   { earnedValue, maxValue, worstSeconds, byKind }: ScenarioResult,
@@ -21,18 +21,21 @@
   return JSON.stringify({ seed, share: earnedValue / maxValue, worstSeconds, kinds });
 }
 
-/** Plays drawn days, one a seed; the planner that decides is the product's own. */
+/** Simulates one generated scenario per seed, with the planner of the relay. */
 export const simulateCommand = defineCommand({
-  description: 'Play drawn days of emulated engines against the planner; one JSON line a day.',
+  description:
+    'Simulate generated scenarios of emulated engines with the planner; prints one JSON line each.',
   shape: {
-    seed: countSetting.default(1).describe('seed of the first day'),
-    days: countSetting.default(20).describe('days to play, each with the next seed'),
-    large: booleanSetting.default(false).describe('60 engines in place of 18'),
-    turns: booleanSetting.default(false).describe('short and long prompts come by turns'),
+    seed: countSetting.default(1).describe('seed of the first scenario'),
+    days: countSetting.default(20).describe('number of scenarios, each with the next seed'),
+    large: booleanSetting.default(false).describe('60 engines instead of 18'),
+    turns: booleanSetting
+      .default(false)
+      .describe('phases of mostly short and mostly long prompts alternate'),
     words: booleanSetting
       .default(false)
-      .describe('some engines want rest, some say that they leave'),
-    calm: booleanSetting.default(false).describe('days without bursts and kills'),
+      .describe('some engines ask for backoff, some announce that they leave'),
+    calm: booleanSetting.default(false).describe('scenarios without bursts and kills'),
   },
   main: ({ seed, days, large, turns, words, calm }) => {
     for (let next = seed; next < seed + days; next += 1) {
--- a/packages/emulator/src/deployment.ts
+++ b/packages/emulator/src/deployment.ts
@@ -1,7 +1,7 @@
 import type { Milliseconds } from '@poppypond/core';
 import type { EngineFigures } from '@poppypond/routing';
 
-/** A number that varies: lognormal around its mean, and never above `most`. */
+/** A lognormal distribution with the given mean; samples above `most` are set to `most`. */
 export interface LognormalDistribution {
   readonly mean: number;
   /** Standard deviation of the logarithm. */
@@ -9,25 +9,25 @@
   readonly most: number;
 }
 
-/** One kind of request, by what it asks for and what serving it is worth. */
+/** One kind of request: its rate, its sizes, its latency targets and the value of serving it. */
 export interface RequestKind {
   readonly name: string;
   readonly requestsPerSecond: number;
   readonly promptTokens: LognormalDistribution;
-  /** Events of an answer. */
+  /** Number of events of an answer. */
   readonly events: LognormalDistribution;
-  /** The first event is due within this time of the first try. */
+  /** Latency target of the first event, from the first try. */
   readonly aimMs: Milliseconds;
-  /** The longest pause between events with which an answer is still in time. */
+  /** Latency target of the gap between events; an answer with a longer gap is late. */
   readonly gapAimMs: Milliseconds;
-  /** Time after which a caller expects nothing more. */
+  /** Time after which the caller gives up, from the first try. */
   readonly timeoutMs: Milliseconds;
-  /** Worth of an answer of mean length that is in time, and of one that is late. */
+  /** Value of an answer to a prompt of mean length that is in time; `lateValue` if it is late. */
   readonly inTimeValue: number;
   readonly lateValue: number;
 }
 
-/** Engines and those who call them. */
+/** Engines and the traffic of their callers. */
 export interface Deployment {
   readonly name: string;
   readonly engines: number;
@@ -35,7 +35,7 @@
   readonly kinds: readonly RequestKind[];
 }
 
-/** For a while, requests of some kinds come more or less often. */
+/** A period in which the request rate of some kinds is multiplied by `factor`. */
 export interface Burst {
   readonly kinds: readonly string[];
   readonly fromMs: Milliseconds;
@@ -43,7 +43,10 @@
   readonly factor: number;
 }
 
-/** For a while an engine turns away what it is sent and asks for rest, or says in its answers that it leaves. */
+/**
+ * A period in which an engine rejects attempts and asks for backoff (`rests`), or reports in its responses that it
+ * leaves (`leaves`) or that it has a rate limit (`limits`).
+ */
 export interface EngineNotice {
   readonly engineId: string;
   readonly fromMs: Milliseconds;
@@ -51,25 +54,26 @@
   readonly kind: 'rests' | 'leaves' | 'limits';
 }
 
-/** The name of an engine; engines are filled in the order of their names. */
+/** Returns the identifier of an engine. Engines are filled in the order of their identifiers. */
 export function engineIdOf(index: number): string {
   return `engine-${String(index).padStart(3, '0')}`;
 }
 
-/** What happens on a day beside the usual. */
+/** Duration of the traffic of a simulation and the deviations from normal operation in it. */
 export interface Scenario {
   readonly durationMs: Milliseconds;
   readonly bursts: readonly Burst[];
-  /** All hosts are killed at these instants, and start again knowing nothing. */
+  /** Times at which all hosts are killed; they restart without any state. */
   readonly restartsAtMs: readonly Milliseconds[];
   readonly notices: readonly EngineNotice[];
 }
 
-/** What a request is worth at most, in answers of its kind's mean length. */
+/** Upper bound of the value of an answer, relative to the value at its kind's mean prompt length. */
 const MAX_RELATIVE_VALUE = 4;
+/** Share of the value that does not depend on the length of the prompt. */
 const FIXED_VALUE_SHARE = 0.3;
 
-/** Worth of an answer of this kind to a prompt of `promptTokens`, in time or late. */
+/** Returns the value of an answer of this kind to a prompt of `promptTokens`, in time or late. */
 export function answerValue(kind: RequestKind, promptTokens: number, isInTime: boolean): number {
   const size = promptTokens / kind.promptTokens.mean;
   const relativeValue = FIXED_VALUE_SHARE + (1 - FIXED_VALUE_SHARE) * size;
--- a/packages/emulator/src/draw-deployment.ts
+++ b/packages/emulator/src/draw-deployment.ts
@@ -3,17 +3,17 @@
 import { engineIdOf } from './deployment.js';
 import type { Burst, Scenario, Deployment, EngineNotice, RequestKind } from './deployment.js';
 
-/** Uniform numbers in [0, 1). */
+/** Source of uniform random numbers in [0, 1). */
 type RandomSource = () => number;
 
 const SCENARIO_MS: Milliseconds = 50_000;
-/** Engines of a small and of a large deployment. */
+/** Number of engines of a small deployment; `LARGE_ENGINES` for a large one. */
 const SMALL_ENGINES = 18;
 const LARGE_ENGINES = 60;
-/** Share of its engine time that a deployment's callers ask for on a usual second. */
+/** Range of the usual load, as a share of the deployment's engine time. */
 const MIN_LOAD = 0.4;
 const MAX_LOAD = 0.6;
-/** Kinds burst by turns and together. */
+/** Each burst applies to a random subset of the kinds. */
 const BURSTS_PER_SCENARIO = 4;
 
 function uniformBetween(random: RandomSource, least: number, most: number): number {
@@ -35,7 +35,7 @@
   };
 }
 
-/** Short, middle and long prompts with rates of one each; scaled afterwards to the wanted load. */
+/** Generates short, middle and long kinds with relative rates, which are later scaled to the wanted load. */
 function generateRequestKinds(random: RandomSource): readonly RequestKind[] {
   const shortAimMs = uniformBetween(random, 200, 400);
   return [
@@ -75,7 +75,7 @@
   ];
 }
 
-/** Engine time that one request takes, places shared by as many as may write at once. */
+/** Returns the engine time of one mean request. The time of a decode pass is shared by `slots - 1` requests. */
 function engineTimeMs(kind: RequestKind, figures: EngineFigures): Milliseconds {
   const { mean, sigma } = kind.promptTokens;
   const pairs = (mean * mean * Math.exp(sigma * sigma)) / 2;
@@ -85,7 +85,7 @@
   return prefillMs + (kind.events.mean * passMs) / (figures.slots - 1);
 }
 
-/** A deployment with figures of its own, whose callers ask for 0.4 to 0.6 of its engine time. */
+/** Generates a deployment with random engine figures, whose callers need 0.4 to 0.6 of its engine time. */
 export function generateDeployment(
   name: string,
   isLarge: boolean,
@@ -122,7 +122,7 @@
   };
 }
 
-/** Kinds that come by turns: how often each comes beside its usual rate, least and most. */
+/** Alternating phases: the range of the factor on the usual rate of each kind. */
 const PHASES: readonly Readonly<Record<string, readonly [number, number]>>[] = [
   { short: [2, 2.6], middle: [0.4, 0.7], long: [0.03, 0.2] },
   { short: [0.3, 0.5], middle: [1.1, 1.5], long: [2, 2.8] },
@@ -131,7 +131,7 @@
 const PHASE_MS: Milliseconds = 9500;
 const PHASE_GAP_MS: Milliseconds = 1500;
 
-/** Bursts of mostly short and mostly long prompts by turns, with a usual second or two between. */
+/** Generates alternating phases of mostly short and mostly long prompts, with 1.5 s of usual traffic between them. */
 function generateAlternatingBursts(random: RandomSource): readonly Burst[] {
   const firstPhase = random() < 0.5 ? 0 : 1;
   return Array.from({ length: PHASES_PER_SCENARIO }, (_unused, phase) => {
@@ -146,14 +146,14 @@
   }).flat();
 }
 
-/** A day on which short and long prompts come by turns, and all hosts are killed after the last. */
+/** Generates a scenario of alternating short and long phases, with a kill of all hosts 1.5 s after the last one. */
 export function generateAlternatingScenario(random: RandomSource): Scenario {
   const bursts = generateAlternatingBursts(random);
   const killAtMs = PHASES_PER_SCENARIO * (PHASE_MS + PHASE_GAP_MS) + PHASE_GAP_MS;
   return { durationMs: SCENARIO_MS, bursts, restartsAtMs: [killAtMs], notices: [] };
 }
 
-/** A day with bursts of some kinds or all, and one moment at which all hosts are killed. */
+/** Generates a scenario with bursts of some or all kinds and one kill of all hosts. */
 export function generateScenario(deployment: Deployment, random: RandomSource): Scenario {
   const bursts = Array.from({ length: BURSTS_PER_SCENARIO }, () =>
     generateBurst(deployment, random),
@@ -162,11 +162,11 @@
   return { durationMs: SCENARIO_MS, bursts, restartsAtMs: [killAtMs], notices: [] };
 }
 
-/** Shares of the engines that ask for rest and that leave, each once a day. */
+/** Shares of the engines that ask for backoff and that leave, each once in a scenario. */
 const BACKOFF_SHARE = 0.25;
 const LEAVING_SHARE = 0.1;
 
-/** What engines say of themselves on a day: some want rest for 3 to 9 s, some leave for good. */
+/** Generates the notices of a scenario: some engines ask for backoff for 3 to 9 s, some leave permanently. */
 export function generateNotices(
   { engines }: Deployment,
   random: RandomSource,
--- a/packages/emulator/src/emulated-engine.test.ts
+++ b/packages/emulator/src/emulated-engine.test.ts
@@ -40,15 +40,15 @@
 }
 
 describe('EmulatedEngine', () => {
-  it('reads a prompt in the time of its tokens, pairs and steps', () => {
+  it('prefills a prompt in the time of its tokens, pairs and steps', () => {
     const { clock, seen, read } = createEngine();
     read('a', 5000);
     clock.runUntil(1000);
-    // 5,000 / 154 for the tokens, 12.5 million pairs at 0.162, three steps of 2,048 tokens at most.
+    // 5,000 / 154 ms for the tokens, 12.5 million pairs at 0.162 ms, three steps of at most 2,048 tokens.
     expect(seen).toEqual(['a read 38.4']);
   });
 
-  it('writes one event a pass, and reads between the steps of a pass', () => {
+  it('emits one event per pass and prefills between the steps of a pass', () => {
     const { clock, seen, read, decode } = createEngine();
     decode('a', 10_000, 2);
     clock.runUntil(1);
@@ -63,7 +63,7 @@
     ]);
   });
 
-  it('reads parts for others before prompts of its own, and the newest part first', () => {
+  it('prefills parts for other engines before own prompts, and newer parts first', () => {
     const { clock, seen, read } = createEngine();
     read('own', 20_000);
     clock.runUntil(1);
@@ -73,7 +73,7 @@
     expect(seen.map((line) => line.split(' ')[0])).toEqual(['newer', 'older', 'own']);
   });
 
-  it('lets no more answers in than it has places, and the next when one is over', () => {
+  it('runs no more streams than it has slots, and starts the next when one ends', () => {
     const { clock, engine, seen, read } = createEngine();
     for (const id of ['a', 'b', 'c']) read(id, 1000);
     clock.runUntil(500);
--- a/packages/emulator/src/emulated-engine.ts
+++ b/packages/emulator/src/emulated-engine.ts
@@ -2,18 +2,18 @@
 import { passTimeMs } from '@poppypond/fleet';
 import type { EngineFigures } from '@poppypond/routing';
 
-/** A part of a prompt that one engine reads. */
+/** A part of a prompt that one engine prefills. */
 export interface PrefillPart {
   readonly streamId: string;
   readonly tokens: number;
-  /** Time that its tokens and pairs take by themselves; each step costs its own time besides. */
+  /** Compute time of its tokens and token pairs, without the time of the steps that process them. */
   readonly computeMs: Milliseconds;
-  /** Whether another engine writes the answer. */
+  /** Whether another engine decodes the answer. */
   readonly isForOtherEngine: boolean;
   readonly onPrefilled: () => void;
 }
 
-/** An answer that one engine writes. */
+/** An answer that one engine decodes. */
 export interface DecodingStream {
   readonly streamId: string;
   readonly contextTokens: number;
@@ -23,7 +23,7 @@
 
 interface RunningPart {
   readonly part: PrefillPart;
-  /** Share of the part that is not read yet, from 1 down to 0. */
+  /** Share of the part that is not prefilled yet, from 1 down to 0. */
   left: number;
 }
 
@@ -32,23 +32,23 @@
   eventsLeft: number;
 }
 
-/** Less than this share of a part left counts as nothing left. */
+/** A part is complete when its remaining share is at most this, which absorbs rounding errors. */
 const COMPLETION_TOLERANCE = 1e-9;
 
 /**
- * One model engine by its published arithmetic: passes over all that wait, each of several steps
- * while anyone writes, with reading between the steps. Parts for other engines are read before an
- * engine's own prompts, and the newest part before older ones, as bench days show.
+ * Model of one engine by the published timing formulas. It works in passes over all pending work. A pass has several
+ * decode steps while any answer is decoded, with prefill between the steps. Parts for other engines are prefilled
+ * before the engine's own prompts, and newer parts before older ones, as observed on the benchmark.
  */
 export class EmulatedEngine {
   #parts: RunningPart[] = [];
-  /** Prompts of its own that wait for a place. */
+  /** Prompts whose answers this engine decodes itself and that wait for a slot. */
   #queued: RunningPart[] = [];
-  /** Answers that have a place, from the reading of their prompts to their ends. */
+  /** Streams that occupy a slot, from the start of their prefill to their end. */
   readonly #slotHolders = new Set<string>();
   #streams: RunningStream[] = [];
   #isInPass = false;
-  /** Time in which it worked, for the account of a day. */
+  /** Total time of all passes. */
   busyMs: Milliseconds = 0;
 
   constructor(
@@ -56,7 +56,7 @@
     readonly figures: EngineFigures,
   ) {}
 
-  /** Takes in a part of a prompt; one of its own waits for a place. */
+  /** Queues a part of a prompt for prefill. If this engine also decodes the answer, the part waits for a slot first. */
   read(part: PrefillPart): void {
     const running = { part, left: 1 };
     if (part.isForOtherEngine) this.#parts.push(running);
@@ -65,13 +65,13 @@
     this.#schedulePass();
   }
 
-  /** Begins an answer whose prompt is read. */
+  /** Starts to decode an answer whose prompt is prefilled. */
   decode(stream: DecodingStream): void {
     this.#streams.push({ stream, eventsLeft: stream.events });
     this.#schedulePass();
   }
 
-  /** Drops all that belongs to an answer; a pass that has begun goes on to its end. */
+  /** Drops all work of a stream. A pass that has started runs to its end. */
   cancel(streamId: string): void {
     this.#parts = this.#parts.filter(({ part }) => part.streamId !== streamId);
     this.#queued = this.#queued.filter(({ part }) => part.streamId !== streamId);
@@ -79,7 +79,7 @@
     this.#releaseSlot(streamId);
   }
 
-  /** Drops everything. */
+  /** Drops all work of all streams. */
   clear(): void {
     this.#parts = [];
     this.#queued = [];
@@ -105,7 +105,7 @@
   #schedulePass(): void {
     if (this.#isInPass) return;
     this.#isInPass = true;
-    // What arrives in the same instant takes part in the same pass.
+    // The zero delay lets all work that arrives at the same time join the same pass.
     this.clock.after(0, () => {
       this.#beginPass();
     });
@@ -125,14 +125,14 @@
     });
   }
 
-  /** Time of a pass beside its reading: one step where nothing writes. */
+  /** Returns the time of a pass without its prefill: one step if no answer is decoded. */
   #decodeMs(decodingStreams: readonly RunningStream[]): Milliseconds {
     if (decodingStreams.length === 0) return this.figures.stepMs;
     const context = decodingStreams.reduce((sum, { stream }) => sum + stream.contextTokens, 0);
     return passTimeMs(this.figures, decodingStreams.length, context);
   }
 
-  /** Takes reading into the pass that begins: its time, and the parts that are read after it. */
+  /** Adds prefill to the pass that starts. Returns its compute time and the parts that the pass completes. */
   #prefillInPass(isDecoding: boolean): {
     readonly prefillMs: Milliseconds;
     readonly finished: readonly RunningPart[];
--- a/packages/emulator/src/engine-words.ts
+++ b/packages/emulator/src/engine-words.ts
@@ -5,18 +5,18 @@
 import type { EngineNotice } from './deployment.js';
 import type { VirtualClock } from './virtual-clock.js';
 
-/** What an engine asks for that turns requests away. */
+/** Backoff that an engine asks for when it rejects an attempt. */
 const BACKOFF_MS: Milliseconds = 3000;
-/** The requests a second that an engine takes which names a limit. */
+/** Rate limit that an engine reports, in requests per second from all hosts together. */
 export const LIMIT_PER_SECOND = 2;
 
-/** What engines say of themselves on a day, and what the host makes of it. */
+/** The notices that engines report in a scenario, and the state that the host keeps because of them. */
 export class EngineNotices {
   readonly #backoffs: ServerBackoffs;
   readonly #servers = new Map<string, BackendServer>();
-  /** Limits that engines name. */
+  /** Rate limits that engines have reported. */
   readonly limits = new ServerLimits();
-  /** When attempts reached engines that named a limit then. */
+  /** Arrivals of attempts at engines that had a rate limit at that time. */
   readonly limitedArrivals: { readonly id: string; readonly atMs: Milliseconds }[] = [];
 
   constructor(
@@ -30,7 +30,7 @@
     for (const server of listed) this.#servers.set(server.id, server);
   }
 
-  /** An attempt reaches an engine; true where that turns it away and asks for rest. */
+  /** Records that an attempt reaches an engine. Returns true if the engine rejects it and asks for backoff. */
   rejectsAttempt(id: string, attemptId: string): boolean {
     const server = this.#servers.get(id);
     if (!server) return false;
@@ -43,7 +43,7 @@
     return true;
   }
 
-  /** An engine has answered an attempt with events. */
+  /** Applies the notices in the response of an engine that answers an attempt with events. */
   onEvents(id: string, attemptId: string): void {
     const server = this.#servers.get(id);
     if (!server) return;
@@ -55,7 +55,7 @@
     this.limits.applyNotice(server, isLimited ? named : { kind: 'none' }, nowMs, nowMs);
   }
 
-  /** Engines that may be sent nothing now. */
+  /** Returns the engines that may be sent no attempt now because of a backoff or the ramp-up after it. */
   excludedIds(): readonly string[] {
     const nowMs = this.clock.monotonicMs();
     const resting = [...this.#servers.values()].filter(
--- a/packages/emulator/src/outcome.ts
+++ b/packages/emulator/src/outcome.ts
@@ -3,26 +3,27 @@
 import type { Arrival } from './traffic.js';
 
 /**
- * How a request ended for its caller. `late_start` and `late_pause` were served, but not in time;
- * `left` was given up by its caller for silence or lack of time; `refused` was told so.
+ * How a request ended for its caller. `late_start` and `late_pause`: served, but the first event or a gap between
+ * events missed its target. `left`: the caller gave up because of silence or its timeout. `refused`: the caller was
+ * told so. `open`: not ended when the simulation stopped.
  */
 export type OutcomeKind = 'in_time' | 'late_start' | 'late_pause' | 'left' | 'refused' | 'open';
 
-/** How one request ended. */
+/** Result of one request. */
 export interface Outcome {
   readonly arrival: Arrival;
   readonly kind: OutcomeKind;
-  /** From the first try to the first event; undefined where there was none. */
+  /** Time from the first try to the first event; undefined if there is none. */
   readonly firstEventMs: Milliseconds | undefined;
-  /** Time for which it was held and never sent to an engine; 0 where it was. */
+  /** Time for which the request waited without being sent to an engine; 0 if it was sent. */
   readonly queuedMs: Milliseconds;
 }
 
-/** What a day earned of what it owed. */
+/** Summary of a simulation: the value that its answers earned, and the value if all were in time. */
 export interface ScenarioResult {
   readonly earnedValue: number;
   readonly maxValue: number;
-  /** Share of worth that was earned, by second of arrival, of the worst tenth of seconds. */
+  /** Mean share of the value that was earned, over the worst tenth of the seconds by arrival. */
   readonly worstSeconds: number;
   readonly byKind: ReadonlyMap<string, ReadonlyMap<OutcomeKind, number>>;
 }
@@ -35,7 +36,7 @@
   readonly maxValue: number;
 }
 
-/** A wait that ends unserved costs more the longer it lasted, up to the whole worth. */
+/** Returns the earned value. A request that waits in vain costs more the longer it waited, up to its full value. */
 function earnedValueOf({ arrival, kind, queuedMs }: Outcome): number {
   if (kind === 'in_time') return answerValue(arrival.kind, arrival.promptTokens, true);
   const isLate = kind === 'late_start' || kind === 'late_pause';
@@ -68,7 +69,7 @@
   return worst.reduce((sum, share) => sum + share, 0) / Math.max(1, worst.length);
 }
 
-/** Adds the outcomes of a day up. */
+/** Summarizes the outcomes of a simulation. */
 export function summarizeOutcomes(outcomes: readonly Outcome[]): ScenarioResult {
   const byKind = new Map<string, Map<OutcomeKind, number>>();
   for (const { arrival, kind } of outcomes) {
--- a/packages/emulator/src/play-day.test.ts
+++ b/packages/emulator/src/play-day.test.ts
@@ -36,7 +36,7 @@
   return earned / results.reduce((sum, result) => sum + result.maxValue, 0);
 }
 
-/** Days of turns on which 1.6 times as much comes as the deployment was drawn for. */
+/** Share of the value that is earned with alternating phases and 1.6 times the usual request rate. */
 function earnedShareUnderOverload(
   seeds: readonly number[],
   latePromptPolicy: LatePromptPolicy,
@@ -56,7 +56,7 @@
   return earned / results.reduce((sum, result) => sum + result.maxValue, 0);
 }
 
-/** Calm days on which a quarter of the engines want rest and some leave; share of the requests that are refused. */
+/** Share of refused requests if a quarter of the engines ask for backoff and some leave, without bursts and kills. */
 function refusedShareWithNotices(seeds: readonly number[]): number {
   const outcomes = seeds.flatMap((seed) => {
     const random = seededRandom(seed);
@@ -77,7 +77,10 @@
 const LIMITED_FROM_MS = 5000;
 const SETTLING_MS = 3000;
 
-/** Calm days on which the first quarter of the engines name a limit: the most that one got in 4 s, and refusals. */
+/**
+ * Returns the most attempts that one engine got within 4 s, and the share of refused requests, if the first quarter
+ * of the engines report a rate limit, without bursts and kills.
+ */
 function simulateLimits(seeds: readonly number[]) {
   const runs = seeds.map((seed) => {
     const random = seededRandom(seed);
@@ -112,8 +115,8 @@
   vi.restoreAllMocks();
 });
 
-describe('PlayedDay', () => {
-  it('ends every request once, and plays the same for the same seed', () => {
+describe('Simulation', () => {
+  it('ends every request once and is deterministic for a seed', () => {
     const first = simulate(3);
     expect(JSON.stringify(simulate(3))).toBe(JSON.stringify(first));
     expect(JSON.stringify(simulate(4))).not.toBe(JSON.stringify(first));
@@ -122,14 +125,14 @@
     expect(first.filter(({ kind }) => kind === 'open')).toEqual([]);
   });
 
-  it('finds a planted bad policy worse: a planner that forgets what it has placed', () => {
+  it('earns less with a planted bad policy: a planner that forgets its placements', () => {
     const seeds = [5, 6, 7];
     const baseline = earnedShareOf(seeds);
     vi.spyOn(FleetView.prototype, 'begin').mockImplementation(() => undefined);
     expect(earnedShareOf(seeds)).toBeLessThan(baseline - 0.05);
   });
 
-  it('finds a planted bad policy worse: a host that does not keep to the rest that engines ask for', () => {
+  it('refuses more with a planted bad policy: a host that ignores the backoff that engines ask for', () => {
     const seeds = [21, 22, 23, 24];
     const refusedShare = refusedShareWithNotices(seeds);
     vi.spyOn(ServerBackoffs.prototype, 'begin').mockImplementation(() => {
@@ -139,7 +142,7 @@
     expect(refusedShare).toBeLessThan(refusedShareWithNotices(seeds) / 3);
   });
 
-  it('finds a planted bad policy worse: a planner that does not keep to the limits that engines name', () => {
+  it('exceeds rate limits with a planted bad policy: a planner that ignores the limits that engines report', () => {
     const seeds = [31, 32, 33];
     const maxExpected = (LIMIT_PER_SECOND * WINDOW_MS) / 1000 + 2;
     const limited = simulateLimits(seeds);
@@ -149,7 +152,7 @@
     expect(simulateLimits(seeds).most).toBeGreaterThan(2 * maxExpected);
   });
 
-  it('earns more on overloaded days where late giant prompts leave engines to timely ones', () => {
+  it('earns more under overload if late large prompts wait for idle engines', () => {
     const seeds = [11, 12, 13, 14];
     const all = earnedShareUnderOverload(seeds, new StartLatePrompts());
     const idle = earnedShareUnderOverload(seeds, new LatePromptsWhenIdle());
--- a/packages/emulator/src/play-day.ts
+++ b/packages/emulator/src/play-day.ts
@@ -17,32 +17,32 @@
 
 const SERVICE = 'engines';
 const ZONE = 'zone';
-/** One way between a host and the planner, and between a host and an engine. */
+/** One-way network delay between a host and the planner, and between a host and an engine. */
 const HOP_MS: Milliseconds = 1;
-/** A host asks its planner again this often while a request waits. */
+/** Period at which a host submits a waiting request to its planner again. */
 const RESUBMIT_PERIOD_MS: Milliseconds = 300;
-/** From a kill of all hosts until they serve again. */
+/** Time from a kill of all hosts until they serve again. */
 const RESTART_MS: Milliseconds = 600;
-/** Time after the last arrival in which what is open may still end. */
+/** Time after the end of arrivals in which open requests may still end. */
 const DRAIN_MS: Milliseconds = 16_000;
-/** Engines that one request may be sent to. */
+/** Number of engines that one request may be sent to. */
 const MAX_ATTEMPTS = 2;
 
-/** One request while it is served. */
+/** State of a request that has not ended. */
 interface OpenRequest {
   readonly arrival: Arrival;
-  /** Rises when a restart of the hosts ends an attempt, whose events then count no more. */
+  /** Incarnation of the hosts that serve the request, or -1 after a kill; events of other incarnations are ignored. */
   incarnation: number;
   firstEventMs: Milliseconds | undefined;
   lastEventAtMs: Milliseconds;
   hasLateGap: boolean;
   engineIds: readonly string[];
-  /** Engines that turned it away. */
+  /** Engines that rejected the request. */
   readonly rejectedBy: Set<string>;
   cancelIdleTimeout: CancelTimer;
 }
 
-/** Plays one day of a deployment against the product's planner. */
+/** Simulates one scenario of a deployment in virtual time, with the planner of the relay. */
 export class Simulation {
   readonly #clock = new VirtualClock();
   readonly #engines = new Map<string, EmulatedEngine>();
@@ -51,7 +51,7 @@
   readonly #random: () => number;
   readonly #activeConfiguration = new ActiveConfiguration();
   readonly #servers: ServerList;
-  /** What engines say of themselves. */
+  /** Notices that the engines report. */
   readonly notices: EngineNotices;
   #fleet = new FleetView();
   #planner: Planner;
@@ -77,7 +77,7 @@
     this.#planner = this.#makePlanner();
   }
 
-  /** Runs the whole day; how each request ended. */
+  /** Runs the whole scenario. Returns the outcome of each request. */
   run(): readonly Outcome[] {
     for (const arrival of generateArrivals(this.deployment, this.scenario, this.#random)) {
       this.#clock.after(arrival.atMs, () => {
@@ -154,7 +154,7 @@
     });
   }
 
-  /** Hosts ask again and again while a request waits. */
+  /** Submits the request to the planner, and again every `RESUBMIT_PERIOD_MS` while it waits. */
   #submit(request: OpenRequest, incarnation: number): void {
     this.#planner.submit(this.#planRequestFor(request), (answer) => {
       if (this.#isStale(request, incarnation)) return;
@@ -196,7 +196,7 @@
     );
   }
 
-  /** Sends the stream to the engines of its plan; the answer begins when all parts are read. */
+  /** Sends the stream to the engines of its plan. Decoding starts when all parts are prefilled. */
   #startAttempt(request: OpenRequest, { writerId, readerIds }: PlannedStream): void {
     const { requestId, promptTokens } = request.arrival;
     const prefillMs = prefillComputeMs(this.deployment.figures, promptTokens);
@@ -226,7 +226,7 @@
     });
   }
 
-  /** An engine has turned a request away, which goes to another where it may. */
+  /** Sends a request that an engine rejected to another engine, or refuses it after `MAX_ATTEMPTS`. */
   #retry(request: OpenRequest, engineId: string): void {
     request.rejectedBy.add(engineId);
     if (request.rejectedBy.size >= MAX_ATTEMPTS) {
@@ -293,7 +293,7 @@
     this.#outcomes.push({ arrival, kind, firstEventMs, queuedMs });
   }
 
-  /** All hosts end at once; callers ask again when hosts are back, which know nothing then. */
+  /** Kills all hosts at once. They restart without any state, and callers send their open requests again. */
   #killHosts(): void {
     this.#incarnation += 1;
     this.#areHostsDown = true;
@@ -307,7 +307,7 @@
     });
   }
 
-  /** What a caller had of an answer is lost with the host. */
+  /** Sends a request again from the start; events that its caller received before the kill are discarded. */
   #restartRequest(request: OpenRequest): void {
     request.firstEventMs = undefined;
     request.hasLateGap = false;
--- a/packages/emulator/src/traffic.ts
+++ b/packages/emulator/src/traffic.ts
@@ -1,7 +1,7 @@
 import type { Milliseconds } from '@poppypond/core';
 import type { Scenario, Deployment, RequestKind, LognormalDistribution } from './deployment.js';
 
-/** A request that a caller is going to send. */
+/** A request that a caller sends at `atMs`. */
 export interface Arrival {
   readonly requestId: string;
   readonly kind: RequestKind;
@@ -11,7 +11,7 @@
 }
 
 const MS_PER_SECOND = 1000;
-/** Arrivals are drawn at the rate of each such span. */
+/** The request rate is constant within each interval of this length. */
 const RATE_INTERVAL_MS: Milliseconds = 100;
 
 function standardNormal(random: () => number): number {
@@ -45,7 +45,7 @@
     const ratePerMs = requestRateAt(kind, scenario, atMs) / MS_PER_SECOND;
     const interarrivalMs =
       ratePerMs > 0 ? -Math.log(1 - random()) / ratePerMs : Number.POSITIVE_INFINITY;
-    // Exponential gaps have no memory, so a gap that leaves its span is drawn anew at the next.
+    // The exponential distribution is memoryless, so a gap that exceeds its interval is sampled again in the next one.
     const intervalEndMs = (Math.floor(atMs / RATE_INTERVAL_MS) + 1) * RATE_INTERVAL_MS;
     if (atMs + interarrivalMs >= intervalEndMs) {
       atMs = intervalEndMs;
@@ -63,7 +63,7 @@
   return arrivals;
 }
 
-/** All requests of a day, in the order in which they come. */
+/** Generates all requests of a scenario, in order of arrival. */
 export function generateArrivals(
   deployment: Deployment,
   scenario: Scenario,
--- a/packages/emulator/src/virtual-clock.test.ts
+++ b/packages/emulator/src/virtual-clock.test.ts
@@ -3,7 +3,7 @@
 import { VirtualClock } from './virtual-clock.js';
 
 describe('VirtualClock', () => {
-  it('fires timers by their time, of equals in the order in which they were set', () => {
+  it('fires timers in order of time, and in the order in which they were set if due together', () => {
     fc.assert(
       fc.property(fc.array(fc.nat(20), { maxLength: 60 }), (delays) => {
         const clock = new VirtualClock();
@@ -21,7 +21,7 @@
     );
   });
 
-  it('fires nothing that was cancelled, nor anything later than asked', () => {
+  it('fires no cancelled timer and no timer after the requested time', () => {
     const clock = new VirtualClock();
     const fired: string[] = [];
     const cancel = clock.after(5, () => fired.push('cancelled'));
--- a/packages/emulator/src/virtual-clock.ts
+++ b/packages/emulator/src/virtual-clock.ts
@@ -3,7 +3,7 @@
 
 interface Timer {
   readonly dueMs: Milliseconds;
-  /** Timers that are due together fire in the order in which they were set. */
+  /** Sequence number; timers that are due at the same time fire in the order in which they were set. */
   readonly order: number;
   readonly callback: () => void;
   isCancelled: boolean;
@@ -13,11 +13,11 @@
   return left.dueMs === right.dueMs ? left.order < right.order : left.dueMs < right.dueMs;
 }
 
-/** A clock that jumps from one timer to the next; all that it runs is synchronous. */
+/** A clock that advances from one timer to the next. Its callbacks run synchronously. */
 export class VirtualClock implements Clock {
   #nowMs: Milliseconds = 0;
   #order = 0;
-  /** A binary heap, the next timer first. */
+  /** Binary min-heap; the next timer is its first element. */
   readonly #heap: Timer[] = [];
 
   monotonicMs(): Milliseconds {
@@ -42,7 +42,7 @@
     return repeatUsingAfter(this, periodMs, callback);
   }
 
-  /** Fires all timers that are due until `untilMs`, in order, and stops there. */
+  /** Fires all timers that are due up to `untilMs`, in order, and sets the clock to `untilMs`. */
   runUntil(untilMs: Milliseconds): void {
     for (;;) {
       const next = this.#heap[0];
