--- a/packages/admin/src/fleet/app.ts
+++ b/packages/admin/src/fleet/app.ts
@@ -20,7 +20,7 @@
   peers: z.array(z.looseObject({ host: z.string(), callerUrl: z.string() })),
 });
 
-/** A host's address and the status that it reports; undefined if the host is unreachable or its response is invalid. */
+/** A host's address and its reported status, which is undefined if it is unreachable or its response is invalid. */
 interface HostStatus {
   readonly url: string;
   readonly status: z.infer<typeof statusSchema> | undefined;
