--- a/packages/controller/src/models/plan-orders.ts
+++ b/packages/controller/src/models/plan-orders.ts
@@ -56,10 +56,7 @@
   const engine = missing ?? outdated;
   if (engine === undefined) return undefined;
   const { name, version, adapters } = model;
-  const why =
-    missing === undefined
-      ? `replaces version ${versionOf(engine) ?? ''}`
-      : 'the model is not loaded';
+  const why = missing === undefined ? `replaces version ${versionOf(engine) ?? ''}` : 'is wanted';
   return { engine, order: { kind: 'load-model', model: name, version, adapters }, why };
 }
 
@@ -75,7 +72,7 @@
   if (!surplus) return undefined;
   const version = surplus.models[model.name] ?? model.version;
   const order: EngineCommand = { kind: 'unload-model', model: model.name, version };
-  return { engine: surplus.name, order, why: 'demand needs fewer engines' };
+  return { engine: surplus.name, order, why: 'demand is low' };
 }
 
 /**
@@ -97,7 +94,7 @@
     return {
       engine: name,
       order: { kind: 'set-role', role },
-      why: `the pool assigns role ${role}`,
+      why: `pool wants ${role}`,
     };
   }
   return undefined;
