--- a/packages/gateway/src/completions/admit.ts
+++ b/packages/gateway/src/completions/admit.ts
@@ -42,7 +42,7 @@
 }
 
 /** The budgets that a request is charged to: user, workspace, pool. */
-function budgetsOf(
+function applicableBudgets(
   configuration: Configuration,
   caller: CompletionRequest['caller'],
   pools: Resolution['pools'],
@@ -76,16 +76,16 @@
   const requestClass = resolution.requestClass?.object;
   const className = requestClass?.name ?? NO_CLASS;
   const promptTokens = context.correction.correct(className, body.estimatedTokens);
-  const wrong = checkRule(resolution, request, promptTokens);
-  if (wrong) return Result.err(wrong);
+  const ruleFault = checkRule(resolution, request, promptTokens);
+  if (ruleFault) return Result.err(ruleFault);
   const pools = resolution.pools.map((pool) => pool.object.name);
   const prefix = hashBlocks(body.prompt, MAX_PREFIX_BLOCKS).map(formatChainHash);
-  const open = context.engines.open(pools, model);
-  const cached = open.map(({ watched }) => context.cachedTokens(watched.name, prefix));
-  const workTokens = promptTokens - Math.max(0, ...cached);
+  const available = context.engines.listAvailable(pools, model);
+  const cachedTokens = available.map(({ engine }) => context.cachedTokens(engine.name, prefix));
+  const workTokens = promptTokens - Math.max(0, ...cachedTokens);
   context.lanes.observe(workTokens);
-  const needed = promptTokens + body.maxTokens;
-  const largest = Math.max(0, ...open.map(({ state }) => state.kvTokens));
+  const neededTokens = promptTokens + body.maxTokens;
+  const maxKvTokens = Math.max(0, ...available.map(({ state }) => state.kvTokens));
   const { rule } = resolution;
   const timeLimitMs =
     headers.timeLimitMs ?? requestClass?.spec.timeLimitMs ?? DEFAULT_TIME_LIMIT_MS;
@@ -101,8 +101,8 @@
     lane: context.lanes.laneOf(workTokens),
     prefix,
     deadlineMs: request.arrivedAtMs + timeLimitMs,
-    budgets: budgetsOf(configuration, request.caller, resolution.pools),
-    needsGroup: largest > 0 && needed > largest * (1 - GROUP_MARGIN),
+    budgets: applicableBudgets(configuration, request.caller, resolution.pools),
+    needsGroup: maxKvTokens > 0 && neededTokens > maxKvTokens * (1 - GROUP_MARGIN),
   });
 }
 
@@ -117,14 +117,14 @@
   const { settings } = context;
   if (settings.placement !== 'predicted-start') return undefined;
   const now = context.clock.monotonicMs();
-  const open = context.engines.open(request.pools, request.body.model);
-  if (open.length === 0) return undefined;
-  const states = open.map(({ state }) => state);
+  const available = context.engines.listAvailable(request.pools, request.body.model);
+  if (available.length === 0) return undefined;
+  const states = available.map(({ state }) => state);
   const tokensPerMs = states.reduce((sum, state) => sum + state.prefillTokensPerMs, 0);
-  const ahead = states.map(
+  const workAheadMs = states.map(
     (state) => prefillTokensAtOrAbove(state, request.priority) / state.prefillTokensPerMs,
   );
-  const queuedTokens = context.dispatcher.queuedTokensBefore({
+  const queuedTokens = context.dispatcher.queuedTokensAhead({
     job: { ...request, outputTokens: 0, zone: '', cachedTokens: () => 0 },
     pools: request.pools,
     model: request.body.model,
@@ -134,7 +134,7 @@
     promptTokens: request.promptTokens,
     outputTokens: request.body.maxTokens - (request.headers.resume?.offset ?? 0),
     queuedTokens,
-    minWorkAheadMs: Math.min(...ahead),
+    minWorkAheadMs: Math.min(...workAheadMs),
     laneTokensPerMs: tokensPerMs / context.hostCount(),
     engineTokensPerMs: tokensPerMs / states.length,
     stepMs: settings.decodeStepMs,
--- a/packages/gateway/src/completions/answer.ts
+++ b/packages/gateway/src/completions/answer.ts
@@ -4,7 +4,7 @@
 import type { CompletionStyle } from './request-body.js';
 
 /** What an answer needs to know of its request. */
-export interface AnswerHead {
+export interface ResponseMetadata {
   readonly requestId: string;
   readonly model: string;
   readonly style: CompletionStyle;
@@ -19,7 +19,7 @@
 }
 
 /** The caller's side of a request. It ends once, with `finish` or `fail`. */
-export interface Answer {
+export interface CompletionResponse {
   token(index: number, text: string): void;
   finish(usage: Usage): void;
   /** Answers at once; a stream that has begun never looks complete afterwards. */
@@ -41,33 +41,33 @@
 }
 
 /** An answer as server-sent events, in the form of common client libraries. */
-export class StreamAnswer implements Answer {
-  readonly #before: string;
-  readonly #after: string;
+export class StreamedResponse implements CompletionResponse {
+  readonly #chunkPrefix: string;
+  readonly #chunkSuffix: string;
 
   constructor(
     readonly response: ServerResponse,
-    readonly head: AnswerHead,
+    readonly head: ResponseMetadata,
   ) {
     const object = head.style === 'chat' ? 'chat.completion.chunk' : 'text_completion';
-    const common = `"id":${JSON.stringify(head.requestId)},"object":"${object}","created":${String(head.created)},"model":${JSON.stringify(head.model)}`;
+    const commonFields = `"id":${JSON.stringify(head.requestId)},"object":"${object}","created":${String(head.created)},"model":${JSON.stringify(head.model)}`;
     const isChat = head.style === 'chat';
-    this.#before = `data: {${common},"choices":[{"index":0,${isChat ? '"delta":{"content":' : '"text":'}`;
-    this.#after = `${isChat ? '}' : ''},"finish_reason":null}]}\n\n`;
+    this.#chunkPrefix = `data: {${commonFields},"choices":[{"index":0,${isChat ? '"delta":{"content":' : '"text":'}`;
+    this.#chunkSuffix = `${isChat ? '}' : ''},"finish_reason":null}]}\n\n`;
   }
 
   token(index: number, text: string): void {
     if (this.response.destroyed) return;
-    if (!this.response.headersSent) this.#begin();
+    if (!this.response.headersSent) this.#writeHead();
     const id = `id: ${this.head.requestId}:${String(index)}\n`;
-    this.response.write(`${id}${this.#before}${JSON.stringify(text)}${this.#after}`);
+    this.response.write(`${id}${this.#chunkPrefix}${JSON.stringify(text)}${this.#chunkSuffix}`);
     if (this.response.writableLength > MAX_BUFFERED_BYTES) this.response.destroy();
   }
 
   finish(usage: Usage): void {
     if (this.response.destroyed) return;
-    if (!this.response.headersSent) this.#begin();
-    const last = {
+    if (!this.response.headersSent) this.#writeHead();
+    const finalChunk = {
       id: this.head.requestId,
       object: this.head.style === 'chat' ? 'chat.completion.chunk' : 'text_completion',
       created: this.head.created,
@@ -79,7 +79,7 @@
       ],
       usage: usageBody(usage),
     };
-    this.response.end(`data: ${JSON.stringify(last)}\n\ndata: [DONE]\n\n`);
+    this.response.end(`data: ${JSON.stringify(finalChunk)}\n\ndata: [DONE]\n\n`);
   }
 
   fail(fault: Fault): void {
@@ -91,7 +91,7 @@
     this.response.end(`data: ${JSON.stringify(faultBody(fault, this.head.requestId))}\n\n`);
   }
 
-  #begin(): void {
+  #writeHead(): void {
     this.response.writeHead(200, {
       'content-type': 'text/event-stream',
       'cache-control': 'no-store',
@@ -101,20 +101,20 @@
 }
 
 /** An answer in one piece. */
-export class WholeAnswer implements Answer {
-  readonly #texts: string[] = [];
+export class BufferedResponse implements CompletionResponse {
+  readonly #tokenTexts: string[] = [];
 
   constructor(
     readonly response: ServerResponse,
-    readonly head: AnswerHead,
+    readonly head: ResponseMetadata,
   ) {}
 
   token(_index: number, text: string): void {
-    this.#texts.push(text);
+    this.#tokenTexts.push(text);
   }
 
   finish(usage: Usage): void {
-    const text = this.#texts.join('');
+    const text = this.#tokenTexts.join('');
     const isChat = this.head.style === 'chat';
     const body = {
       id: this.head.requestId,
--- a/packages/gateway/src/completions/app.ts
+++ b/packages/gateway/src/completions/app.ts
@@ -11,7 +11,7 @@
 import { DecisionRecorder } from '../explain/decision-recorder.js';
 import { runGroup } from '../groups/group-run.js';
 import { checkCanFinish, resolveRequest, trafficLabels } from './admit.js';
-import { REQUEST_ID_HEADER, StreamAnswer, WholeAnswer } from './answer.js';
+import { REQUEST_ID_HEADER, StreamedResponse, BufferedResponse } from './answer.js';
 import type { AdmittedRequest, CompletionRequest } from './completion-request.js';
 import { CompletionRun } from './completion-run.js';
 import { parseCompletionBody } from './request-body.js';
@@ -28,10 +28,10 @@
 ): Promise<Result<CompletionRequest, Fault>> {
   const { settings, clock, lifecycle, configuration } = context;
   const arrivedAtMs = clock.monotonicMs();
-  if (!lifecycle.takesNewRequests) {
+  if (!lifecycle.acceptsRequests) {
     return Result.err(fault('stopping', '', { retryAfterMs: STOPPING_RETRY_AFTER_MS }));
   }
-  if (configuration.current.revision === 0 || context.isCutOff()) {
+  if (configuration.current.revision === 0 || context.isIsolated()) {
     return Result.err(fault('not_ready', '', { retryAfterMs: STOPPING_RETRY_AFTER_MS }));
   }
   const caller = authenticate(request, configuration.current);
@@ -91,13 +91,13 @@
     created: Math.floor(context.clock.wallMs() / MS_PER_SECOND),
   };
   const answer = request.body.isStream
-    ? new StreamAnswer(response, head)
-    : new WholeAnswer(response, head);
+    ? new StreamedResponse(response, head)
+    : new BufferedResponse(response, head);
   const run = new CompletionRun(context, request, answer, recorder);
   response.once('close', () => {
-    if (!response.writableFinished) run.onCallerGone();
+    if (!response.writableFinished) run.onCallerDisconnected();
   });
-  if (response.destroyed) run.onCallerGone();
+  if (response.destroyed) run.onCallerDisconnected();
   await run.run(charge.value, request.needsGroup ? () => runGroup(run) : undefined);
 }
 
--- a/packages/gateway/src/completions/completion-record.ts
+++ b/packages/gateway/src/completions/completion-record.ts
@@ -1,6 +1,6 @@
 import type { AttemptEnd } from '@poppypond/backend';
 import type { Milliseconds } from '@poppypond/core';
-import type { Placed } from '../engines/dispatcher.js';
+import type { PlacementOutcome } from '../engines/dispatcher.js';
 import type { DecisionRecorder } from '../explain/decision-recorder.js';
 import type { AdmittedRequest } from './completion-request.js';
 import type { RunContext } from './run-context.js';
@@ -21,7 +21,7 @@
 }
 
 /** Records the decisions about one completion and counts them. */
-export class CompletionRecord {
+export class CompletionRecorder {
   constructor(
     readonly context: RunContext,
     readonly request: AdmittedRequest,
@@ -29,7 +29,7 @@
   ) {}
 
   /** An engine was chosen, and by what. */
-  placed(placed: Placed, remainingMs: Milliseconds): void {
+  placed(placed: PlacementOutcome, remainingMs: Milliseconds): void {
     const { context, request } = this;
     this.recorder.record({
       kind: 'place',
@@ -45,7 +45,7 @@
         remainingMs: Math.round(remainingMs),
         reportAgeMs: Math.round(context.clock.monotonicMs() - placed.engine.load.reportAtMs),
       },
-      passedOver: placed.passedOver.map((passed) => ({ ...passed })),
+      passedOver: placed.passedOver.map((rejected) => ({ ...rejected })),
     });
   }
 
@@ -67,14 +67,14 @@
   }
 
   /** A part of a group failed. */
-  groupFailure(engine: string, end: AttemptEnd): void {
+  groupPartFailed(engine: string, end: AttemptEnd): void {
     const why = 'detail' in end ? end.detail : end.kind;
     this.recorder.record({ kind: 'retry', choice: end.kind, state: { engine, why } });
     this.context.metrics.count('attempts.retried', 1);
   }
 
   /** An engine failed so often that it is set aside. */
-  setAside(engine: string): void {
+  serverEjected(engine: string): void {
     this.context.log.warn('backend_set_aside', { server: engine });
     this.context.metrics.count('backend.set_aside', 1, { server: engine });
   }
--- a/packages/gateway/src/completions/completion-run.test.ts
+++ b/packages/gateway/src/completions/completion-run.test.ts
@@ -9,20 +9,20 @@
 import fc from 'fast-check';
 import { Result } from 'true-myth';
 import { describe, expect, it } from 'vitest';
-import type { PlaceRequest } from '../engines/dispatcher.js';
+import type { PlacementRequest } from '../engines/dispatcher.js';
 import { DecisionRecorder } from '../explain/decision-recorder.js';
 import { HostQuarantine } from '../quarantine/host-quarantine.js';
 import type { AdmittedRequest } from './completion-request.js';
 import { CompletionRun } from './completion-run.js';
 import type { RunContext } from './run-context.js';
 
-const LIMIT_MS = 1000;
-const TOKENS = 6;
+const TIME_LIMIT_MS = 1000;
+const OUTPUT_TOKENS = 6;
 
 /** What a fake engine does with one attempt. */
-const behaviour = fc.record({
-  placeAfterMs: fc.integer({ min: 0, max: 400 }),
-  placeFault: fc.option(fc.constantFrom('queue_full' as const, 'displaced' as const), {
+const engineBehaviour = fc.record({
+  placementDelayMs: fc.integer({ min: 0, max: 400 }),
+  placementFault: fc.option(fc.constantFrom('queue_full' as const, 'displaced' as const), {
     freq: 8,
     nil: undefined,
   }),
@@ -36,20 +36,20 @@
     'silent',
     'stale',
   ),
-  beginsAfterMs: fc.integer({ min: 0, max: 300 }),
-  saysAccepted: fc.boolean(),
-  tokens: fc.integer({ min: 0, max: TOKENS }),
-  tokenMs: fc.integer({ min: 0, max: 120 }),
+  startDelayMs: fc.integer({ min: 0, max: 300 }),
+  sendsAccepted: fc.boolean(),
+  tokens: fc.integer({ min: 0, max: OUTPUT_TOKENS }),
+  tokenDelayMs: fc.integer({ min: 0, max: 120 }),
 });
-type Behaviour = typeof behaviour extends fc.Arbitrary<infer Value> ? Value : never;
+type EngineBehaviour = typeof engineBehaviour extends fc.Arbitrary<infer Value> ? Value : never;
 
-interface Recorded {
+interface RecordedResponse {
   texts: string[];
   ends: (Fault | 'ok')[];
   endedAtMs: number;
 }
 
-function resolution() {
+function buildResolution() {
   const parsed = parseObjects([{ kind: 'rule', name: 'r', spec: { traffic: [], pools: [] } }]);
   const [rule] = parsed.isOk ? parsed.value : [];
   if (!rule) throw new Error('no rule');
@@ -66,9 +66,9 @@
     caller: { workspace: 'w', user: 'u', labels: {} },
     headers: { timeLimitMs: undefined, idempotencyKey: undefined, labels: {}, resume: undefined },
     bytes: Buffer.from(''),
-    body: { model: 'm', maxTokens: TOKENS, isStream: true, prompt: '', estimatedTokens: 10 },
+    body: { model: 'm', maxTokens: OUTPUT_TOKENS, isStream: true, prompt: '', estimatedTokens: 10 },
     arrivedAtMs: nowMs,
-    resolution: resolution(),
+    resolution: buildResolution(),
     rule: 'r@1',
     className: 'none',
     pools: [],
@@ -76,22 +76,26 @@
     promptTokens: 10,
     lane: 'short',
     prefix: [],
-    deadlineMs: nowMs + LIMIT_MS,
+    deadlineMs: nowMs + TIME_LIMIT_MS,
     budgets: [],
     needsGroup: false,
   };
 }
 
 /** Runs one request against engines that behave as given; says what ran and what was told. */
-async function play(behaviours: readonly Behaviour[], goneAfterMs: number | undefined) {
+async function runScenario(
+  behaviours: readonly EngineBehaviour[],
+  disconnectAfterMs: number | undefined,
+) {
   const clock = new ManualClock();
   const wait = (ms: number) => new Promise<void>((resolve) => clock.after(ms, resolve));
   const truth = { ran: false };
-  let next = 0;
-  const current = () => behaviours[Math.min(next, behaviours.length - 1)] ?? behaviours[0];
-  const answer: Recorded = { texts: [], ends: [], endedAtMs: 0 };
-  const end = (how: Fault | 'ok') => {
-    answer.ends.push(how);
+  let startedAttempts = 0;
+  const currentBehaviour = () =>
+    behaviours[Math.min(startedAttempts, behaviours.length - 1)] ?? behaviours[0];
+  const answer: RecordedResponse = { texts: [], ends: [], endedAtMs: 0 };
+  const end = (outcome: Fault | 'ok') => {
+    answer.ends.push(outcome);
     answer.endedAtMs = clock.monotonicMs();
   };
   const runAttempt = async (
@@ -100,8 +104,8 @@
     onToken: (index: number, text: string) => void,
     onAccepted: () => void,
   ): Promise<AttemptEnd> => {
-    const engine = current();
-    next += 1;
+    const engine = currentBehaviour();
+    startedAttempts += 1;
     if (!engine) return { kind: 'not_sent', detail: '' };
     const aborted = new Promise<AttemptEnd>((resolve) => {
       signal.addEventListener('abort', () => {
@@ -110,16 +114,18 @@
     });
     const work = async (): Promise<AttemptEnd> => {
       if (engine.kind === 'not_sent') return { kind: 'not_sent', detail: '' };
-      await wait(engine.beginsAfterMs);
+      await wait(engine.startDelayMs);
       if (engine.kind === 'refused' || engine.kind === 'no_memory')
         return { kind: 'refused', reason: engine.kind };
       truth.ran = true;
       if (engine.kind === 'silent') return new Promise<AttemptEnd>(() => undefined);
-      if (engine.saysAccepted) onAccepted();
-      const until =
-        engine.kind === 'cut' ? Math.min(TOKENS, call.resumeOffset + engine.tokens) : TOKENS;
-      for (let index = call.resumeOffset; index < until; index += 1) {
-        await wait(engine.tokenMs);
+      if (engine.sendsAccepted) onAccepted();
+      const endIndex =
+        engine.kind === 'cut'
+          ? Math.min(OUTPUT_TOKENS, call.resumeOffset + engine.tokens)
+          : OUTPUT_TOKENS;
+      for (let index = call.resumeOffset; index < endIndex; index += 1) {
+        await wait(engine.tokenDelayMs);
         onToken(index, `t${String(index)} `);
         if (engine.kind === 'stale') onToken(Math.max(0, index - 1), 'stale ');
       }
@@ -137,13 +143,13 @@
     zone: 'a',
     usesLateBinding: true,
     dispatcher: {
-      place: async ({ signal, maxWaitMs }: PlaceRequest) => {
-        const engine = current();
-        const waitMs = Math.min(maxWaitMs, engine?.placeAfterMs ?? 0);
+      place: async ({ signal, maxWaitMs }: PlacementRequest) => {
+        const engine = currentBehaviour();
+        const waitMs = Math.min(maxWaitMs, engine?.placementDelayMs ?? 0);
         await wait(waitMs);
         if (signal.aborted) return Result.err(fault('cancelled_waiting', ''));
         if (waitMs === maxWaitMs) return Result.err(fault('wait_expired', ''));
-        if (engine?.placeFault) return Result.err(fault(engine.placeFault, ''));
+        if (engine?.placementFault) return Result.err(fault(engine.placementFault, ''));
         return Result.ok({
           engine: {
             name: 'e',
@@ -183,11 +189,11 @@
     settle: () => undefined,
   };
   const decisions = new DecisionLog('h', new FakeObjectStore(), clock, 100);
-  const asked = request(clock.monotonicMs());
-  const recorder = new DecisionRecorder(decisions, clock, asked.id, 1, {});
+  const admitted = request(clock.monotonicMs());
+  const recorder = new DecisionRecorder(decisions, clock, admitted.id, 1, {});
   const run = new CompletionRun(
     context,
-    asked,
+    admitted,
     {
       token: (_index, text) => answer.texts.push(text),
       finish: () => {
@@ -198,33 +204,44 @@
     recorder,
   );
   const running = run.run({ budgets: [], units: 0 });
-  if (goneAfterMs !== undefined) {
-    clock.after(goneAfterMs, () => {
-      run.onCallerGone();
+  if (disconnectAfterMs !== undefined) {
+    clock.after(disconnectAfterMs, () => {
+      run.onCallerDisconnected();
     });
   }
-  await clock.advance(LIMIT_MS * 3);
+  await clock.advance(TIME_LIMIT_MS * 3);
   await flushPromises();
-  const isOver = await Promise.race([running.then(() => true), flushPromises().then(() => false)]);
-  return { answer, truth, isOver, deadlineMs: asked.deadlineMs };
+  const hasEnded = await Promise.race([
+    running.then(() => true),
+    flushPromises().then(() => false),
+  ]);
+  return { answer, truth, hasEnded, deadlineMs: admitted.deadlineMs };
 }
 
 describe('CompletionRun', () => {
   it('ends once and in time, with the whole answer or a truthful word, whatever engines do', async () => {
-    const gone = fc.option(fc.integer({ min: 0, max: LIMIT_MS }), { freq: 4, nil: undefined });
+    const gone = fc.option(fc.integer({ min: 0, max: TIME_LIMIT_MS }), { freq: 4, nil: undefined });
     await fc.assert(
       fc.asyncProperty(
-        fc.array(behaviour, { minLength: 1, maxLength: 5 }),
+        fc.array(engineBehaviour, { minLength: 1, maxLength: 5 }),
         gone,
         async (engines, goneAfterMs) => {
-          const { answer, truth, isOver, deadlineMs } = await play(engines, goneAfterMs);
+          const {
+            answer,
+            truth,
+            hasEnded: isOver,
+            deadlineMs,
+          } = await runScenario(engines, goneAfterMs);
           expect(isOver).toBe(true);
           expect(answer.ends).toHaveLength(1);
           expect(answer.endedAtMs).toBeLessThanOrEqual(deadlineMs);
-          const whole = Array.from({ length: TOKENS }, (_, index) => `t${String(index)} `);
-          expect(answer.texts).toEqual(whole.slice(0, answer.texts.length));
+          const complete = Array.from(
+            { length: OUTPUT_TOKENS },
+            (_, index) => `t${String(index)} `,
+          );
+          expect(answer.texts).toEqual(complete.slice(0, answer.texts.length));
           const [told] = answer.ends;
-          if (told === 'ok') expect(answer.texts).toEqual(whole);
+          if (told === 'ok') expect(answer.texts).toEqual(complete);
           else if (told && outcomeOf(told.code) === 'not_run') {
             expect(truth.ran).toBe(false);
             expect(answer.texts).toEqual([]);
--- a/packages/gateway/src/completions/completion-run.ts
+++ b/packages/gateway/src/completions/completion-run.ts
@@ -4,16 +4,16 @@
 import { requestCost } from '@poppypond/policy';
 import type { Charge, PlacementJob } from '@poppypond/policy';
 import { match, P } from 'ts-pattern';
-import type { Placed } from '../engines/dispatcher.js';
+import type { PlacementOutcome } from '../engines/dispatcher.js';
 import type { DecisionRecorder } from '../explain/decision-recorder.js';
-import type { RequestEnds } from '../quarantine/host-quarantine.js';
-import type { Answer } from './answer.js';
-import { CompletionRecord } from './completion-record.js';
+import type { TerminationDetector } from '../quarantine/host-quarantine.js';
+import type { CompletionResponse } from './answer.js';
+import { CompletionRecorder } from './completion-record.js';
 import type { AdmittedRequest } from './completion-request.js';
 import type { PlacedEngine, RunContext } from './run-context.js';
 
 /** How an attempt leaves the request. */
-type Next = 'finished' | 'again' | Fault;
+type NextStep = 'finished' | 'again' | Fault;
 
 /** The engine refused for want of memory: nothing is wrong with it, and it wasn't run. */
 const NO_MEMORY = 'no_memory';
@@ -27,28 +27,28 @@
   #nextToken: number;
   #hasRun = false;
   /** Attempts that an engine was given and that have not ended. */
-  #inFlight = 0;
+  #attemptsInFlight = 0;
   #isEnded = false;
-  #attempt = 0;
+  #attemptCount = 0;
   #actualPromptTokens: number | undefined;
-  readonly #avoid = new Set<string>();
+  readonly #avoidedEngines = new Set<string>();
   /** What it waits for now; told where its time ends before it came. */
-  #awaited = '';
+  #waitReason = '';
   readonly #abort = new AbortController();
   /** What is known of servers that ended under it. */
-  readonly ends: RequestEnds;
-  readonly #record: CompletionRecord;
+  readonly ends: TerminationDetector;
+  readonly #completionRecorder: CompletionRecorder;
 
   constructor(
     readonly context: Context,
     readonly request: AdmittedRequest,
-    readonly answer: Answer,
+    readonly answer: CompletionResponse,
     readonly recorder: DecisionRecorder,
   ) {
     this.#nextToken = request.headers.resume?.offset ?? 0;
-    this.#record = new CompletionRecord(context, request, recorder);
+    this.#completionRecorder = new CompletionRecorder(context, request, recorder);
     const head = [request.caller.workspace, request.body.model];
-    this.ends = context.quarantine.follow({ head, body: request.bytes });
+    this.ends = context.quarantine.track({ head, body: request.bytes });
   }
 
   /** Index of the next token that the caller is owed. */
@@ -65,17 +65,17 @@
   }
 
   /** A new attempt number; frames of older attempts no longer count. */
-  nextAttempt(): number {
-    this.#attempt += 1;
-    return this.#attempt;
+  nextAttemptNumber(): number {
+    this.#attemptCount += 1;
+    return this.#attemptCount;
   }
 
   /** Notes what the request waits for; empty where it waits no more. */
-  setAwaited(what: string): void {
-    this.#awaited = what;
+  setWaitReason(what: string): void {
+    this.#waitReason = what;
   }
 
-  onStartedOnEngine(): void {
+  onEngineStarted(): void {
     this.#hasRun = true;
   }
 
@@ -83,21 +83,21 @@
    * Watches an attempt. While it is in flight an engine may have begun it although its word has
    * not come yet; only its end can confirm that it was not run.
    */
-  async watchAttempt(attempt: Promise<AttemptEnd>): Promise<AttemptEnd> {
-    this.#inFlight += 1;
+  async trackAttempt(attempt: Promise<AttemptEnd>): Promise<AttemptEnd> {
+    this.#attemptsInFlight += 1;
     const end = await attempt;
-    this.#inFlight -= 1;
+    this.#attemptsInFlight -= 1;
     if (end.kind === 'cut') this.#hasRun = true;
     return end;
   }
 
   get #mayHaveRun(): boolean {
-    return this.#hasRun || this.#inFlight > 0;
+    return this.#hasRun || this.#attemptsInFlight > 0;
   }
 
   /** The caller closed the connection. */
-  onCallerGone(): void {
-    this.#end(fault(this.#mayHaveRun ? 'cancelled_running' : 'cancelled_waiting', ''));
+  onCallerDisconnected(): void {
+    this.#fail(fault(this.#mayHaveRun ? 'cancelled_running' : 'cancelled_waiting', ''));
     this.#abort.abort();
   }
 
@@ -106,23 +106,23 @@
     const { clock } = this.context;
     const cancelTimer = clock.after(Math.max(0, this.remainingMs), () => {
       const code = this.#mayHaveRun ? 'time_limit' : 'wait_expired';
-      this.#end(fault(code, this.#awaited, this.#ruleField()));
+      this.#fail(fault(code, this.#waitReason, this.#ruleField()));
       this.#abort.abort();
     });
     this.context.retries.onFirstAttempt();
     const result = runGroup ? await runGroup() : await this.#runOnEngines();
     cancelTimer();
     if (result === 'finished') this.#finish();
-    else this.#end(result);
+    else this.#fail(result);
     this.#settle(charge);
   }
 
   async #runOnEngines(): Promise<'finished' | Fault> {
     for (;;) {
-      const held = this.ends.heldBecause();
+      const held = this.ends.checkHold();
       if (held) return held;
       const placed = await this.context.dispatcher.place({
-        job: this.#job(),
+        job: this.#placementJob(),
         pools: this.request.pools,
         model: this.request.body.model,
         workspace: this.request.caller.workspace,
@@ -130,21 +130,21 @@
         rule: this.request.rule,
         maxQueuedTokens: this.request.resolution.rule.object.spec.maxQueuedTokens,
         maxWaitMs: Math.min(this.request.resolution.rule.object.spec.maxWaitMs, this.remainingMs),
-        avoid: this.#avoid,
+        avoidedEngines: this.#avoidedEngines,
         signal: this.signal,
       });
       if (placed.isErr) return placed.error;
-      this.#record.placed(placed.value, this.remainingMs);
+      this.#completionRecorder.placed(placed.value, this.remainingMs);
       this.ends.begin();
       const end = await this.#runAttempt(placed.value);
       const { name, url } = placed.value.engine;
-      if (end.kind === 'cut') await this.ends.onCut(name, url);
-      const next = this.#afterAttempt(placed.value, end);
+      if (end.kind === 'cut') await this.ends.onResponseCut(name, url);
+      const next = this.#handleAttemptEnd(placed.value, end);
       if (next !== 'again') return next;
     }
   }
 
-  #job(): PlacementJob {
+  #placementJob(): PlacementJob {
     const { request, context } = this;
     return {
       promptTokens: request.promptTokens + this.#nextToken,
@@ -156,7 +156,7 @@
     };
   }
 
-  async #runAttempt(placed: Placed): Promise<AttemptEnd> {
+  async #runAttempt(placed: PlacementOutcome): Promise<AttemptEnd> {
     const { context, request } = this;
     const { engine, dispatch } = placed;
     let isFirst = true;
@@ -164,7 +164,7 @@
       {
         engineUrl: engine.url,
         requestId: request.id,
-        attempt: this.nextAttempt(),
+        attempt: this.nextAttemptNumber(),
         owner: formatOwner(context.owner),
         dispatch,
         priority: request.priority,
@@ -176,7 +176,7 @@
       },
       {
         onAccepted: ({ promptTokens }) => {
-          this.onStartedOnEngine();
+          this.onEngineStarted();
           this.#actualPromptTokens = promptTokens;
         },
         onToken: (index, text) => {
@@ -187,7 +187,7 @@
       },
       this.signal,
     );
-    const end = await this.watchAttempt(attempt);
+    const end = await this.trackAttempt(attempt);
     engine.load.onEnd(dispatch);
     return end;
   }
@@ -195,15 +195,15 @@
   /** Passes a token to the caller; tokens it has, or that come after the end, are dropped. */
   onToken(index: number, text: string): void {
     if (this.#isEnded || index !== this.#nextToken) return;
-    if (index === (this.request.headers.resume?.offset ?? 0)) this.#record.firstToken();
+    if (index === (this.request.headers.resume?.offset ?? 0)) this.#completionRecorder.firstToken();
     this.#nextToken += 1;
     this.answer.token(index, text);
   }
 
-  #afterAttempt({ engine }: Placed, end: AttemptEnd): Next {
+  #handleAttemptEnd({ engine }: PlacementOutcome, end: AttemptEnd): NextStep {
     const { health } = engine;
     return match(end)
-      .returnType<Next>()
+      .returnType<NextStep>()
       .with({ kind: 'done' }, () => {
         health.onSuccess();
         this.ends.onServed();
@@ -219,37 +219,38 @@
       })
       .with({ kind: 'refused', reason: NO_MEMORY }, () => {
         health.onInconclusiveEnd();
-        this.#avoid.add(engine.name);
+        this.#avoidedEngines.add(engine.name);
         return 'again';
       })
-      .with({ kind: 'refused', reason: P.string }, ({ reason, backoffMs: restMs }) => {
-        if (restMs !== undefined)
-          health.onBackoffRequested(restMs, this.context.clock.monotonicMs());
+      .with({ kind: 'refused', reason: P.string }, ({ reason, backoffMs }) => {
+        if (backoffMs !== undefined)
+          health.onBackoffRequested(backoffMs, this.context.clock.monotonicMs());
         this.#onEngineFailure(engine);
-        return this.#tryAgain(engine.name, reason);
+        return this.#retryOrFail(engine.name, reason);
       })
       .with({ kind: P.union('not_sent', 'cut') }, ({ detail }) => {
         this.#onEngineFailure(engine);
-        return this.#tryAgain(engine.name, detail);
+        return this.#retryOrFail(engine.name, detail);
       })
       .exhaustive();
   }
 
   #onEngineFailure({ health, name }: PlacedEngine): void {
-    if (health.onFailure(this.context.clock.monotonicMs())) this.#record.setAside(name);
+    if (health.onFailure(this.context.clock.monotonicMs()))
+      this.#completionRecorder.serverEjected(name);
   }
 
-  #tryAgain(engine: string, why: string): Next {
-    this.#avoid.add(engine);
+  #retryOrFail(engine: string, why: string): NextStep {
+    this.#avoidedEngines.add(engine);
     const again = this.context.retries.tryTake();
-    this.#record.retry({ engine, why, token: this.#nextToken }, again);
+    this.#completionRecorder.retry({ engine, why, token: this.#nextToken }, again);
     if (again) return 'again';
     return fault('retries_spent', why, { ...this.#ruleField(), retryAfterMs: RETRY_AFTER_MS });
   }
 
   /** Notes that a part of a group failed. */
-  recordGroupFailure(engine: string, end: AttemptEnd): void {
-    this.#record.groupFailure(engine, end);
+  recordGroupPartFailure(engine: string, end: AttemptEnd): void {
+    this.#completionRecorder.groupPartFailed(engine, end);
   }
 
   #ruleField(): { readonly rule: string } {
@@ -268,27 +269,30 @@
   }
 
   /** Ends with a fault. Once an engine has run any part, it is never called not run. */
-  #end(given: Fault): void {
+  #fail(cause: Fault): void {
     if (this.#isEnded) return;
     this.#isEnded = true;
-    const isBlurred = this.#mayHaveRun && outcomeOf(given.code) === 'not_run';
-    const end = isBlurred
-      ? fault('incomplete', `${given.code}: ${given.detail}`, this.#ruleField())
-      : given;
+    const isOutcomeUncertain = this.#mayHaveRun && outcomeOf(cause.code) === 'not_run';
+    const end = isOutcomeUncertain
+      ? fault('incomplete', `${cause.code}: ${cause.detail}`, this.#ruleField())
+      : cause;
     this.answer.fail(end);
     this.#recordEnd(end.code, end.detail);
   }
 
   #recordEnd(code: string, detail: string): void {
-    this.#record.ended(code, detail, { attempts: this.#attempt, tokens: this.#nextToken });
+    this.#completionRecorder.ended(code, detail, {
+      attempts: this.#attemptCount,
+      tokens: this.#nextToken,
+    });
   }
 
   #settle(charge: Charge): void {
     const { context, request } = this;
     const offset = request.headers.resume?.offset ?? 0;
     const prompt = this.#actualPromptTokens ?? (this.#hasRun ? request.promptTokens : 0);
-    const actual = requestCost(prompt, this.#nextToken - offset);
-    context.settle(charge, actual);
+    const actualUnits = requestCost(prompt, this.#nextToken - offset);
+    context.settle(charge, actualUnits);
     if (this.#actualPromptTokens === undefined) return;
     const { estimatedTokens } = request.body;
     context.correction.observe(request.className, estimatedTokens, this.#actualPromptTokens);
--- a/packages/gateway/src/completions/run-context.ts
+++ b/packages/gateway/src/completions/run-context.ts
@@ -9,7 +9,7 @@
 } from '@poppypond/policy';
 import type { Log, Metrics } from '@poppypond/telemetry';
 import type { Result } from 'true-myth';
-import type { Placed, PlaceRequest } from '../engines/dispatcher.js';
+import type { PlacementOutcome, PlacementRequest } from '../engines/dispatcher.js';
 import type { HostQuarantine } from '../quarantine/host-quarantine.js';
 
 /** Runs one attempt on one engine. */
@@ -36,7 +36,9 @@
   readonly zone: string;
   /** Whether engines refuse at once what they have no memory for. */
   readonly usesLateBinding: boolean;
-  readonly dispatcher: { place(request: PlaceRequest): Promise<Result<Placed, Fault>> };
+  readonly dispatcher: {
+    place(request: PlacementRequest): Promise<Result<PlacementOutcome, Fault>>;
+  };
   readonly lanes: { readonly cutOffText: string };
   readonly retries: RetryBudget;
   readonly quarantine: HostQuarantine;
--- a/packages/gateway/src/configuration/configuration-sync.ts
+++ b/packages/gateway/src/configuration/configuration-sync.ts
@@ -6,16 +6,16 @@
 import { z } from 'zod';
 import type { GatewayContext } from '../context.js';
 
-const CHANGES = 'configuration-changes';
-const ASK = 'configuration-ask';
-const WHOLE = 'configuration-whole';
+const CHANGES_MESSAGE = 'configuration-changes';
+const SNAPSHOT_REQUEST_MESSAGE = 'configuration-ask';
+const SNAPSHOT_MESSAGE = 'configuration-whole';
 
 const changesSchema = z.object({
   after: z.int().nonnegative(),
   changes: z.array(z.object({ id: z.string(), revision: z.int(), after: objectSchema.nullable() })),
 });
-const askSchema = z.object({ have: z.int().nonnegative() });
-const wholeSchema = z.object({
+const snapshotRequestSchema = z.object({ have: z.int().nonnegative() });
+const snapshotSchema = z.object({
   revision: z.int(),
   objects: z.array(z.object({ revision: z.int(), object: objectSchema })),
 });
@@ -40,20 +40,21 @@
     const { configuration: holder, clock, log } = context;
     this.holder = holder;
     this.#reader = new ConfigurationReader(holder, table, clock);
-    mesh.on(CHANGES, changesSchema, (from, { after, changes }) => {
+    mesh.on(CHANGES_MESSAGE, changesSchema, (from, { after, changes }) => {
       const result = holder.advance(after, changes);
-      if (result === 'advanced') mesh.broadcast(CHANGES, { after, changes }, from.host);
-      if (result === 'gap') mesh.send(from.host, ASK, { have: holder.current.revision });
+      if (result === 'advanced') mesh.broadcast(CHANGES_MESSAGE, { after, changes }, from.host);
+      if (result === 'gap')
+        mesh.send(from.host, SNAPSHOT_REQUEST_MESSAGE, { have: holder.current.revision });
     });
-    mesh.on(ASK, askSchema, (from, { have }) => {
-      if (holder.current.revision > have) mesh.send(from.host, WHOLE, this.#whole());
+    mesh.on(SNAPSHOT_REQUEST_MESSAGE, snapshotRequestSchema, (from, { have }) => {
+      if (holder.current.revision > have) mesh.send(from.host, SNAPSHOT_MESSAGE, this.#snapshot());
     });
-    mesh.on(WHOLE, wholeSchema, (_from, { revision, objects }) => {
+    mesh.on(SNAPSHOT_MESSAGE, snapshotSchema, (_from, { revision, objects }) => {
       const stored = objects.map((item) => [objectId(item.object), item] as const);
       holder.replace(new Configuration(revision, new Map(stored)));
     });
     mesh.onPeerConnected = (member) => {
-      mesh.send(member.host, ASK, { have: holder.current.revision });
+      mesh.send(member.host, SNAPSHOT_REQUEST_MESSAGE, { have: holder.current.revision });
     };
     holder.onChange((configuration) => {
       log.info('configuration_in_force', { revision: configuration.revision });
@@ -61,7 +62,7 @@
   }
 
   /** Monotonic time of the last answer from the table. */
-  get storeContactAtMs(): Milliseconds | undefined {
+  get lastStoreResponseAtMs(): Milliseconds | undefined {
     return this.#reader.lastResponseAtMs;
   }
 
@@ -77,10 +78,10 @@
   /** Reads what is new and passes it on. */
   async poll(): Promise<void> {
     const read = await this.#reader.poll();
-    if (read) this.mesh.broadcast(CHANGES, read);
+    if (read) this.mesh.broadcast(CHANGES_MESSAGE, read);
   }
 
-  #whole(): z.infer<typeof wholeSchema> {
+  #snapshot(): z.infer<typeof snapshotSchema> {
     const { revision } = this.holder.current;
     return { revision, objects: this.holder.current.all().map((stored) => ({ ...stored })) };
   }
--- a/packages/gateway/src/context.ts
+++ b/packages/gateway/src/context.ts
@@ -4,11 +4,11 @@
 import type { Dispatcher } from './engines/dispatcher.js';
 import type { EngineDirectory } from './engines/engine-directory.js';
 import type { LaneTuner } from './engines/lane-tuner.js';
-import type { ReservationKeeper } from './engines/reservation-keeper.js';
-import type { Turns } from './groups/turns.js';
+import type { ReservationManager } from './engines/reservation-keeper.js';
+import type { Mutex } from './groups/turns.js';
 import type { Lifecycle } from './lifecycle/lifecycle.js';
 import type { ServiceDirectory } from './services/service-directory.js';
-import type { ShareKeeper } from './shares/share-keeper.js';
+import type { ShareManager } from './shares/share-keeper.js';
 import type { GatewaySettings } from './settings.js';
 
 /** What the request handlers of one gateway share. */
@@ -20,15 +20,15 @@
   readonly services: ServiceDirectory;
   readonly dispatcher: Dispatcher;
   readonly lanes: LaneTuner;
-  readonly reservations: ReservationKeeper;
+  readonly reservations: ReservationManager;
   /** Groups of this host reserve one after another. */
-  readonly groupTurns: Turns;
-  readonly shares: ShareKeeper;
+  readonly groupReservationMutex: Mutex;
+  readonly shares: ShareManager;
   readonly decisions: DecisionLog;
   readonly ledger: AtMostOnceLedger;
   readonly lifecycle: Lifecycle;
   /** Whether this host is cut off from both the table and all peers for too long. */
-  isCutOff(): boolean;
+  isIsolated(): boolean;
   /** How many hosts share the engines. */
   hostCount(): number;
 }
--- a/packages/gateway/src/engines/dispatcher.test.ts
+++ b/packages/gateway/src/engines/dispatcher.test.ts
@@ -3,13 +3,13 @@
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
 import { Dispatcher } from './dispatcher.js';
-import type { PlaceRequest } from './dispatcher.js';
+import type { PlacementRequest } from './dispatcher.js';
 import { FakeDirectory } from './mocks/fake-directory.js';
 
 /** A few seconds, in which word of a leaving server may still be on its way. */
-const WORD_MS = 3000;
+const MAX_NOTICE_DELAY_MS = 3000;
 
-function placeRequest(signal: AbortSignal): PlaceRequest {
+function buildRequest(signal: AbortSignal): PlacementRequest {
   return {
     job: {
       promptTokens: 100,
@@ -26,7 +26,7 @@
     rule: 'r@1',
     maxQueuedTokens: 100_000,
     maxWaitMs: 5000,
-    avoid: new Set(),
+    avoidedEngines: new Set(),
     signal,
   };
 }
@@ -36,7 +36,7 @@
     const step = fc.record({
       kind: fc.constantFrom('place', 'place', 'own-word', 'list', 'silent', 'return', 'wait'),
       engine: fc.integer({ min: 0, max: 2 }),
-      byMs: fc.integer({ min: 0, max: 2000 }),
+      elapseMs: fc.integer({ min: 0, max: 2000 }),
     });
     await fc.assert(
       fc.asyncProperty(fc.array(step, { maxLength: 30 }), async (steps) => {
@@ -48,32 +48,32 @@
           { next: () => 0 },
           clock,
         );
-        const goneSince = new Map<number, number>();
+        const leavingSinceMs = new Map<number, number>();
         const signal = new AbortController().signal;
-        for (const { kind, engine, byMs } of steps) {
+        for (const { kind, engine, elapseMs } of steps) {
           if (kind === 'place') {
             const placed = await Promise.race([
-              dispatcher.place(placeRequest(signal)),
+              dispatcher.place(buildRequest(signal)),
               Promise.resolve(undefined),
             ]);
             if (placed?.isOk) {
               const index = directory.indexOf(placed.value.engine.name);
-              const since = goneSince.get(index);
-              if (since !== undefined)
-                expect(clock.monotonicMs() - since).toBeLessThanOrEqual(WORD_MS);
+              const leavingAtMs = leavingSinceMs.get(index);
+              if (leavingAtMs !== undefined)
+                expect(clock.monotonicMs() - leavingAtMs).toBeLessThanOrEqual(MAX_NOTICE_DELAY_MS);
             }
           }
           if (kind === 'own-word' || kind === 'list' || kind === 'silent') {
             directory.leave(engine, kind);
-            if (!goneSince.has(engine)) goneSince.set(engine, clock.monotonicMs());
+            if (!leavingSinceMs.has(engine)) leavingSinceMs.set(engine, clock.monotonicMs());
           }
           if (kind === 'return') {
-            directory.comeBack(engine);
-            goneSince.delete(engine);
+            directory.restore(engine);
+            leavingSinceMs.delete(engine);
           }
-          await clock.advance(byMs);
-          directory.report();
-          dispatcher.pump();
+          await clock.advance(elapseMs);
+          directory.sendReports();
+          dispatcher.processQueue();
         }
       }),
       { seed: 53, numRuns: 1000 },
@@ -90,8 +90,8 @@
       clock,
     );
     const abort = new AbortController();
-    const gone = dispatcher.place(placeRequest(abort.signal));
-    const late = dispatcher.place(placeRequest(new AbortController().signal));
+    const gone = dispatcher.place(buildRequest(abort.signal));
+    const late = dispatcher.place(buildRequest(new AbortController().signal));
     abort.abort();
     const first = await gone;
     expect(first.isErr && first.error.code).toBe('cancelled_waiting');
--- a/packages/gateway/src/engines/dispatcher.ts
+++ b/packages/gateway/src/engines/dispatcher.ts
@@ -3,11 +3,11 @@
 import { WaitQueue } from '@poppypond/policy';
 import type { RejectedEngine, Placement, PlacementJob, RandomSource } from '@poppypond/policy';
 import { Result } from 'true-myth';
-import type { OpenEngines } from './engine-directory.js';
+import type { EngineSource } from './engine-directory.js';
 import type { PlacedEngine } from '../completions/run-context.js';
 
 /** A request that wants an engine. */
-export interface PlaceRequest {
+export interface PlacementRequest {
   readonly job: PlacementJob;
   readonly pools: readonly string[];
   readonly model: string;
@@ -18,12 +18,12 @@
   readonly maxQueuedTokens: number;
   readonly maxWaitMs: Milliseconds;
   /** Engines that refused or failed this request before; used only if there is no other. */
-  readonly avoid: ReadonlySet<string>;
+  readonly avoidedEngines: ReadonlySet<string>;
   readonly signal: AbortSignal;
 }
 
 /** Where a request was placed. */
-export interface Placed {
+export interface PlacementOutcome {
   readonly engine: PlacedEngine;
   /** The number of the dispatch, which the engine's reports name. */
   readonly dispatch: number;
@@ -33,24 +33,24 @@
   readonly passedOver: readonly RejectedEngine[];
 }
 
-interface Waiting {
-  readonly request: PlaceRequest;
-  readonly since: Milliseconds;
-  lastWhy: string;
-  settle(result: Result<Placed, Fault>): void;
+interface WaitingRequest {
+  readonly request: PlacementRequest;
+  readonly enqueuedAtMs: Milliseconds;
+  lastWaitReason: string;
+  settle(result: Result<PlacementOutcome, Fault>): void;
 }
 
-const RETRY_AFTER_FLOOR_MS = 250;
+const MIN_RETRY_AFTER_MS = 250;
 
 /** Places requests, and lets them wait at this host while no engine is free enough. */
 export class Dispatcher {
-  readonly #queue = new WaitQueue<Waiting>();
+  readonly #queue = new WaitQueue<WaitingRequest>();
   #cancelTimer: CancelTimer | undefined;
   /** Engines kept for a prompt that needs several; long work leaves them alone. */
-  #kept: ReadonlySet<string> = new Set();
+  #keptFreeForGroup: ReadonlySet<string> = new Set();
 
   constructor(
-    readonly directory: OpenEngines,
+    readonly directory: EngineSource,
     readonly placement: Placement,
     readonly random: RandomSource,
     readonly clock: Clock,
@@ -65,37 +65,37 @@
   }
 
   /** Tokens in the queue that go before a request. */
-  queuedTokensBefore(request: Pick<PlaceRequest, 'job' | 'pools' | 'model'>): number {
-    return this.#queue.tokensAtOrAbove(request.job.priority, groupOf(request));
+  queuedTokensAhead(request: Pick<PlacementRequest, 'job' | 'pools' | 'model'>): number {
+    return this.#queue.tokensAtOrAbove(request.job.priority, queueGroup(request));
   }
 
-  keepFor(engines: ReadonlySet<string>): void {
-    this.#kept = engines;
+  keepFreeForGroup(engines: ReadonlySet<string>): void {
+    this.#keptFreeForGroup = engines;
   }
 
   /** Resolves when an engine was chosen, or at once or later with the reason why not. */
-  place(request: PlaceRequest): Promise<Result<Placed, Fault>> {
+  place(request: PlacementRequest): Promise<Result<PlacementOutcome, Fault>> {
     const { signal } = request;
-    if (signal.aborted) return Promise.resolve(Result.err(goneFault()));
+    if (signal.aborted) return Promise.resolve(Result.err(cancelledFault()));
     return new Promise((resolve) => {
-      const waiting: Waiting = {
+      const waiting: WaitingRequest = {
         request,
-        since: this.clock.monotonicMs(),
-        lastWhy: '',
+        enqueuedAtMs: this.clock.monotonicMs(),
+        lastWaitReason: '',
         settle: (result) => {
           signal.removeEventListener('abort', onAbort);
           resolve(result);
         },
       };
       const onAbort = () => {
-        if (this.#queue.remove(waiting)) waiting.settle(Result.err(goneFault()));
+        if (this.#queue.remove(waiting)) waiting.settle(Result.err(cancelledFault()));
       };
       signal.addEventListener('abort', onAbort);
       this.#enqueue(waiting);
     });
   }
 
-  #enqueue(waiting: Waiting): void {
+  #enqueue(waiting: WaitingRequest): void {
     const { request } = waiting;
     const result = this.#queue.enqueue({
       item: waiting,
@@ -105,39 +105,39 @@
       rule: request.rule,
       maxQueuedTokens: request.maxQueuedTokens,
       tokens: request.job.promptTokens,
-      group: groupOf(request),
-      expiresAtMs: waiting.since + request.maxWaitMs,
+      group: queueGroup(request),
+      expiresAtMs: waiting.enqueuedAtMs + request.maxWaitMs,
     });
     if (!result.isQueued) {
-      const retryAfterMs = this.#retryAfter();
+      const retryAfterMs = this.#retryAfterMs();
       waiting.settle(Result.err(fault('queue_full', '', { rule: request.rule, retryAfterMs })));
       return;
     }
     for (const displaced of result.displaced) {
-      const retryAfterMs = this.#retryAfter();
+      const retryAfterMs = this.#retryAfterMs();
       const { rule } = displaced.request;
       displaced.settle(Result.err(fault('displaced', '', { rule, retryAfterMs })));
     }
-    this.pump();
+    this.processQueue();
   }
 
   /** Time in which this host's queue should have drained. */
-  #retryAfter(): Milliseconds {
+  #retryAfterMs(): Milliseconds {
     const engines = this.directory.all();
     const tokensPerMs = engines.reduce(
       (sum, engine) => sum + engine.load.state(this.clock.monotonicMs()).prefillTokensPerMs,
       0,
     );
-    return Math.max(RETRY_AFTER_FLOOR_MS, this.#queue.tokens / Math.max(1, tokensPerMs));
+    return Math.max(MIN_RETRY_AFTER_MS, this.#queue.tokens / Math.max(1, tokensPerMs));
   }
 
   /** Starts what can be started, and ends waits that took too long. */
-  pump(): void {
+  processQueue(): void {
     const now = this.clock.monotonicMs();
     for (const waiting of this.#queue.takeExpired(now)) {
       const { rule } = waiting.request;
-      const retryAfterMs = this.#retryAfter();
-      const expired = fault('wait_expired', waiting.lastWhy, { rule, retryAfterMs });
+      const retryAfterMs = this.#retryAfterMs();
+      const expired = fault('wait_expired', waiting.lastWaitReason, { rule, retryAfterMs });
       waiting.settle(Result.err(expired));
     }
     this.#queue.startInOrder((waiting) => this.#tryStart(waiting));
@@ -147,27 +147,32 @@
   #scheduleExpiry(): void {
     this.#cancelTimer?.();
     this.#cancelTimer = undefined;
-    const next = this.#queue.nextExpiryMs();
-    if (next === undefined) return;
-    this.#cancelTimer = this.clock.after(Math.max(1, next - this.clock.monotonicMs()), () => {
-      this.pump();
-    });
+    const nextExpiryMs = this.#queue.nextExpiryMs();
+    if (nextExpiryMs === undefined) return;
+    this.#cancelTimer = this.clock.after(
+      Math.max(1, nextExpiryMs - this.clock.monotonicMs()),
+      () => {
+        this.processQueue();
+      },
+    );
   }
 
-  #tryStart(waiting: Waiting): boolean {
+  #tryStart(waiting: WaitingRequest): boolean {
     const { request } = waiting;
-    const open = this.directory
-      .open(request.pools, request.model)
-      .filter(({ watched }) => request.job.lane === 'short' || !this.#kept.has(watched.name));
-    const preferred = open.filter(({ watched }) => !request.avoid.has(watched.name));
-    const candidates = preferred.length > 0 ? preferred : open;
+    const available = this.directory
+      .listAvailable(request.pools, request.model)
+      .filter(
+        ({ engine }) => request.job.lane === 'short' || !this.#keptFreeForGroup.has(engine.name),
+      );
+    const preferred = available.filter(({ engine }) => !request.avoidedEngines.has(engine.name));
+    const candidates = preferred.length > 0 ? preferred : available;
     const states = candidates.map(({ state }) => state);
     const choice = this.placement.choose(request.job, states, this.random);
     if (choice.kind === 'wait') {
-      waiting.lastWhy = choice.why;
+      waiting.lastWaitReason = choice.why;
       return false;
     }
-    const engine = candidates.find(({ state }) => state.id === choice.engine.id)?.watched;
+    const engine = candidates.find(({ state }) => state.id === choice.engine.id)?.engine;
     if (!engine) return false;
     const now = this.clock.monotonicMs();
     engine.health.onAttempt(now);
@@ -181,7 +186,7 @@
       now,
     );
     const { predictedStartMs, cachedTokens, passedOver } = choice;
-    const waitedMs = now - waiting.since;
+    const waitedMs = now - waiting.enqueuedAtMs;
     waiting.settle(
       Result.ok({ engine, dispatch, predictedStartMs, cachedTokens, waitedMs, passedOver }),
     );
@@ -189,10 +194,10 @@
   }
 }
 
-function groupOf(request: Pick<PlaceRequest, 'job' | 'pools' | 'model'>): string {
+function queueGroup(request: Pick<PlacementRequest, 'job' | 'pools' | 'model'>): string {
   return `${request.model}/${request.pools.join(',')}/${request.job.lane}`;
 }
 
-function goneFault(): Fault {
+function cancelledFault(): Fault {
   return fault('cancelled_waiting', '');
 }
--- a/packages/gateway/src/engines/engine-directory.ts
+++ b/packages/gateway/src/engines/engine-directory.ts
@@ -14,21 +14,21 @@
 }
 
 /** An engine that may be given work now. */
-export interface OpenEngine {
-  readonly watched: PlacedEngine;
+export interface AvailableEngine {
+  readonly engine: PlacedEngine;
   readonly state: EngineState;
 }
 
 /** Where the dispatcher finds engines. */
-export interface OpenEngines {
+export interface EngineSource {
   /** Engines of these pools that hold the model and take work, in each pool's order. */
-  open(pools: readonly string[], model: string): readonly OpenEngine[];
+  listAvailable(pools: readonly string[], model: string): readonly AvailableEngine[];
   /** Every engine that is known. */
   all(): readonly PlacedEngine[];
 }
 
 /** The engines that this host uses, kept in step with the configuration. */
-export class EngineDirectory implements OpenEngines {
+export class EngineDirectory implements EngineSource {
   readonly #engines = new Map<string, WatchedEngine>();
   #poolOrder = new Map<string, readonly string[]>();
   /** Servers that the host list or a peer calls leaving. */
@@ -44,7 +44,7 @@
 
   /** Starts watching what is new, stops watching what is gone or has moved. */
   sync(configuration: Configuration): void {
-    const wanted = this.#chooseEngines(configuration);
+    const wanted = this.#selectEngines(configuration);
     for (const [name, watched] of this.#engines) {
       const server = wanted.get(name);
       if (server?.object.spec.url === watched.url) continue;
@@ -60,17 +60,21 @@
     }
   }
 
-  #chooseEngines(configuration: Configuration): Map<string, Versioned<'backend-server'>> {
+  #selectEngines(configuration: Configuration): Map<string, Versioned<'backend-server'>> {
     const wanted = new Map<string, Versioned<'backend-server'>>();
     const poolOrder = new Map<string, readonly string[]>();
     for (const { object: pool } of configuration.list('pool')) {
       const engines = configuration
         .poolMembers(pool.name)
         .filter((server) => server.object.spec.kind === 'engine');
-      const mine = rendezvousOrder(this.settings.host, engines, (server) => server.object.name);
-      const chosen = mine.slice(0, this.settings.maxEnginesWatched);
-      for (const server of chosen) wanted.set(server.object.name, server);
-      const ordered = rendezvousOrder(pool.name, chosen, (server) => server.object.name);
+      const byHostRank = rendezvousOrder(
+        this.settings.host,
+        engines,
+        (server) => server.object.name,
+      );
+      const selected = byHostRank.slice(0, this.settings.maxEnginesWatched);
+      for (const server of selected) wanted.set(server.object.name, server);
+      const ordered = rendezvousOrder(pool.name, selected, (server) => server.object.name);
       poolOrder.set(
         pool.name,
         ordered.map((server) => server.object.name),
@@ -80,7 +84,7 @@
     return wanted;
   }
 
-  setLeaving(names: ReadonlySet<string>): void {
+  setLeavingServers(names: ReadonlySet<string>): void {
     this.#leaving = names;
   }
 
@@ -93,29 +97,29 @@
   }
 
   /** Engines that say themselves that they are leaving. */
-  leavingByOwnWord(): readonly string[] {
+  selfReportedLeaving(): readonly string[] {
     return this.all()
       .filter((watched) => watched.load.report?.isLeaving === true)
       .map((watched) => watched.name);
   }
 
-  open(pools: readonly string[], model: string): readonly OpenEngine[] {
+  listAvailable(pools: readonly string[], model: string): readonly AvailableEngine[] {
     const now = this.clock.monotonicMs();
-    const found = new Map<string, OpenEngine>();
+    const found = new Map<string, AvailableEngine>();
     for (const pool of pools) {
       for (const name of this.#poolOrder.get(pool) ?? []) {
         const watched = this.#engines.get(name);
         if (!watched || found.has(name) || this.#leaving.has(name)) continue;
-        if (!watched.takesWork(this.settings.engineReportMaxAgeMs)) continue;
+        if (!watched.canTakeWork(this.settings.engineReportMaxAgeMs)) continue;
         if (!(model in (watched.load.report?.models ?? {}))) continue;
-        found.set(name, { watched, state: watched.load.state(now) });
+        found.set(name, { engine: watched, state: watched.load.state(now) });
       }
     }
     return [...found.values()];
   }
 
   /** Memory of each engine of a pool that has ever reported, whether it takes work or not. */
-  knownMemory(pool: string): readonly number[] {
+  reportedMemory(pool: string): readonly number[] {
     const names = this.#poolOrder.get(pool) ?? [];
     return names.flatMap((name) => this.#engines.get(name)?.load.report?.kvTokens ?? []);
   }
--- a/packages/gateway/src/engines/lane-tuner.ts
+++ b/packages/gateway/src/engines/lane-tuner.ts
@@ -3,15 +3,15 @@
 import type { Lane, LaneSplit, PredictedStartPlacement } from '@poppypond/policy';
 import type { EngineDirectory } from './engine-directory.js';
 
-const PERIOD_MS = 1000;
+const TUNE_PERIOD_MS = 1000;
 /** What remains of an observation after a period; half of it is gone after about a minute. */
-const FADE = 0.988;
-const USE_SMOOTHING = 0.1;
+const HISTOGRAM_DECAY = 0.988;
+const UTILISATION_SMOOTHING = 0.1;
 
 /** Learns request sizes and the engines' use, and sets the lanes from them. */
 export class LaneTuner {
   readonly #sizes = new SizeHistogram();
-  #use = 0;
+  #utilisation = 0;
   #split: LaneSplit = SINGLE_LANE;
 
   constructor(
@@ -19,7 +19,7 @@
     readonly placement: PredictedStartPlacement | undefined,
     clock: Clock,
   ) {
-    clock.every(PERIOD_MS, () => {
+    clock.every(TUNE_PERIOD_MS, () => {
       this.#tune(clock.monotonicMs());
     });
   }
@@ -35,7 +35,7 @@
   }
 
   get use(): number {
-    return this.#use;
+    return this.#utilisation;
   }
 
   observe(workTokens: number): void {
@@ -50,10 +50,10 @@
     const states = this.directory.all().map((engine) => engine.load.state(nowMs));
     const busy = states.filter((state) => state.prefillTokens > 0).length;
     const use = states.length === 0 ? 0 : busy / states.length;
-    this.#use += USE_SMOOTHING * (use - this.#use);
-    this.#sizes.decay(FADE);
+    this.#utilisation += UTILISATION_SMOOTHING * (use - this.#utilisation);
+    this.#sizes.decay(HISTOGRAM_DECAY);
     if (!this.placement?.settings.useLanes) return;
-    this.#split = chooseLaneSplit(this.#sizes.buckets(), this.#use);
+    this.#split = chooseLaneSplit(this.#sizes.buckets(), this.#utilisation);
     this.placement.split = this.#split;
   }
 }
--- a/packages/gateway/src/engines/mocks/fake-directory.ts
+++ b/packages/gateway/src/engines/mocks/fake-directory.ts
@@ -1,18 +1,18 @@
 import type { Clock } from '@poppypond/core';
 import { EngineLoad, ServerHealth } from '@poppypond/policy';
 import type { LoadReport } from '@poppypond/policy';
-import type { OpenEngine, OpenEngines } from '../engine-directory.js';
+import type { AvailableEngine, EngineSource } from '../engine-directory.js';
 
 const MAX_REPORT_AGE_MS = 3000;
 
 /** How an engine is known to leave. */
-export type LeavingWord = 'own-word' | 'list' | 'silent';
+export type LeavingSource = 'own-word' | 'list' | 'silent';
 
-interface FakeEngine extends OpenEngine {
-  readonly words: Set<LeavingWord>;
+interface FakeEngine extends AvailableEngine {
+  readonly leavingSources: Set<LeavingSource>;
 }
 
-function report(isLeaving: boolean): LoadReport {
+function buildReport(isLeaving: boolean): LoadReport {
   return {
     sequence: 1,
     seen: 0,
@@ -29,7 +29,7 @@
 }
 
 /** Engines whose reports a test sends; they leave by own word, by the list, or go silent. */
-export class FakeDirectory implements OpenEngines {
+export class FakeDirectory implements EngineSource {
   readonly #engines: FakeEngine[];
 
   constructor(
@@ -39,42 +39,43 @@
     this.#engines = Array.from({ length: count }, (_, index) => {
       const name = `e${String(index)}`;
       const load = new EngineLoad(name, 'a', 100);
-      const watched = { name, url: '', load, health: new ServerHealth() };
-      return { watched, state: load.state(0), words: new Set() };
+      const engine = { name, url: '', load, health: new ServerHealth() };
+      return { engine, state: load.state(0), leavingSources: new Set() };
     });
-    this.report();
+    this.sendReports();
   }
 
   indexOf(name: string): number {
-    return this.#engines.findIndex(({ watched }) => watched.name === name);
+    return this.#engines.findIndex(({ engine }) => engine.name === name);
   }
 
-  leave(index: number, word: LeavingWord): void {
-    this.#engines[index]?.words.add(word);
+  leave(index: number, word: LeavingSource): void {
+    this.#engines[index]?.leavingSources.add(word);
   }
 
-  comeBack(index: number): void {
-    this.#engines[index]?.words.clear();
+  restore(index: number): void {
+    this.#engines[index]?.leavingSources.clear();
   }
 
-  report(): void {
+  sendReports(): void {
     const now = this.clock.monotonicMs();
-    for (const { watched, words } of this.#engines) {
-      if (!words.has('silent')) watched.load.onReport(report(words.has('own-word')), now);
+    for (const { engine, leavingSources } of this.#engines) {
+      if (!leavingSources.has('silent'))
+        engine.load.onReport(buildReport(leavingSources.has('own-word')), now);
     }
   }
 
-  open(): readonly OpenEngine[] {
+  listAvailable(): readonly AvailableEngine[] {
     const now = this.clock.monotonicMs();
     return this.#engines
-      .filter(({ watched, words }) => {
-        const isFresh = now - watched.load.reportAtMs <= MAX_REPORT_AGE_MS;
-        return isFresh && !words.has('list') && watched.load.report?.isLeaving === false;
+      .filter(({ engine, leavingSources }) => {
+        const isFresh = now - engine.load.reportAtMs <= MAX_REPORT_AGE_MS;
+        return isFresh && !leavingSources.has('list') && engine.load.report?.isLeaving === false;
       })
-      .map(({ watched }) => ({ watched, state: watched.load.state(now) }));
+      .map(({ engine }) => ({ engine, state: engine.load.state(now) }));
   }
 
-  all(): readonly OpenEngine['watched'][] {
-    return this.#engines.map(({ watched }) => watched);
+  all(): readonly AvailableEngine['engine'][] {
+    return this.#engines.map(({ engine }) => engine);
   }
 }
--- a/packages/gateway/src/engines/reservation-keeper.ts
+++ b/packages/gateway/src/engines/reservation-keeper.ts
@@ -10,18 +10,18 @@
 const RELEASE_RETRY_MS = 1000;
 
 /** A reservation on an engine. */
-export interface KeptReservation {
+export interface EngineReservation {
   readonly engineUrl: string;
   readonly id: string;
 }
 
-function keyOf({ engineUrl, id }: KeptReservation): string {
+function keyOf({ engineUrl, id }: EngineReservation): string {
   return `${engineUrl}#${id}`;
 }
 
 /** Renews the reservations of this host, one call for each engine, and releases them. */
-export class ReservationKeeper {
-  readonly #kept = new Map<string, KeptReservation>();
+export class ReservationManager {
+  readonly #reservations = new Map<string, EngineReservation>();
 
   constructor(
     readonly owner: Owner,
@@ -33,40 +33,42 @@
   }
 
   /** Whether this host still uses a reservation; the sweep asks. */
-  isClaimed(reservation: KeptReservation): boolean {
-    return this.#kept.has(keyOf(reservation));
+  isClaimed(reservation: EngineReservation): boolean {
+    return this.#reservations.has(keyOf(reservation));
   }
 
-  keep(reservation: KeptReservation): void {
-    this.#kept.set(keyOf(reservation), reservation);
+  track(reservation: EngineReservation): void {
+    this.#reservations.set(keyOf(reservation), reservation);
   }
 
   /** Gives reservations back. What can't be reached is tried again, then left to the sweep. */
-  async release(reservations: readonly KeptReservation[]): Promise<void> {
-    for (const reservation of reservations) this.#kept.delete(keyOf(reservation));
+  async release(reservations: readonly EngineReservation[]): Promise<void> {
+    for (const reservation of reservations) this.#reservations.delete(keyOf(reservation));
     await Promise.all(
-      this.#byEngine(reservations).map(([url, ids]) => this.#releaseOn(url, ids, RELEASE_TRIES)),
+      this.#byEngine(reservations).map(([url, ids]) =>
+        this.#releaseOnEngine(url, ids, RELEASE_TRIES),
+      ),
     );
   }
 
-  async #releaseOn(url: string, ids: readonly string[], tries: number): Promise<void> {
+  async #releaseOnEngine(url: string, ids: readonly string[], tries: number): Promise<void> {
     const released = await releaseReservations(url, ids);
     if (released.isOk || tries <= 1) return;
     this.clock.after(RELEASE_RETRY_MS, () => {
-      void this.#releaseOn(url, ids, tries - 1);
+      void this.#releaseOnEngine(url, ids, tries - 1);
     });
   }
 
   async #renewAll(): Promise<void> {
     await Promise.all(
-      this.#byEngine([...this.#kept.values()]).map(([url, ids]) =>
+      this.#byEngine([...this.#reservations.values()]).map(([url, ids]) =>
         renewReservations(url, formatOwner(this.owner), ids, RESERVATION_TTL_MS),
       ),
     );
   }
 
   #byEngine(
-    reservations: readonly KeptReservation[],
+    reservations: readonly EngineReservation[],
   ): readonly (readonly [string, readonly string[]])[] {
     const byEngine = new Map<string, string[]>();
     for (const { engineUrl, id } of reservations) {
--- a/packages/gateway/src/engines/watched-engine.ts
+++ b/packages/gateway/src/engines/watched-engine.ts
@@ -73,7 +73,7 @@
   }
 
   /** Whether it may be given new work. */
-  takesWork(maxReportAgeMs: Milliseconds): boolean {
+  canTakeWork(maxReportAgeMs: Milliseconds): boolean {
     const now = this.clock.monotonicMs();
     const { report } = this.load;
     return (
--- a/packages/gateway/src/explain/app.ts
+++ b/packages/gateway/src/explain/app.ts
@@ -14,29 +14,32 @@
 const MAX_DECISIONS = 1000;
 const DEFAULT_RANGE_MS = 900_000;
 
-const replySchema = z.object({ decisions: z.array(decisionSchema) });
+const peerReplySchema = z.object({ decisions: z.array(decisionSchema) });
 
 /** Which decisions somebody may see: all, or those of one workspace. */
-interface Reader {
-  maySee(decision: Decision): boolean;
+interface DecisionReader {
+  canRead(decision: Decision): boolean;
 }
 
 /** Operators see all; callers see their workspace. */
-function findReader(context: GatewayContext, route: RouteContext): Result<Reader, Fault> {
+function authorizeReader(
+  context: GatewayContext,
+  route: RouteContext,
+): Result<DecisionReader, Fault> {
   const key = bearerKey(route.request);
   const configuration = context.configuration.current;
   const hash = key === undefined ? '' : hashKey(key);
   const isOperator = configuration
     .list('operator')
     .some((operator) => operator.object.spec.sha256 === hash);
-  if (isOperator) return Result.ok({ maySee: () => true });
+  if (isOperator) return Result.ok({ canRead: () => true });
   const workspace = configuration.findKey(hash)?.object.spec.workspace;
   if (workspace === undefined) return Result.err(fault('unauthenticated', ''));
-  return Result.ok({ maySee: (decision) => decision.labels['workspace'] === workspace });
+  return Result.ok({ canRead: (decision) => decision.labels['workspace'] === workspace });
 }
 
 /** Asks linked hosts for what they hold in memory; those that don't answer are left out. */
-async function askPeers(
+async function queryPeers(
   mesh: PeerMesh,
   path: string,
   authorization: string,
@@ -53,13 +56,17 @@
   );
   return replies.flatMap((reply) => {
     if (reply.isErr) return [];
-    const parsed = replySchema.safeParse(parseJson(reply.value.body));
+    const parsed = peerReplySchema.safeParse(parseJson(reply.value.body));
     return parsed.success ? parsed.data.decisions : [];
   });
 }
 
-function sendDecisions(route: RouteContext, reader: Reader, decisions: readonly Decision[]): void {
-  const seen = decisions.filter((decision) => reader.maySee(decision)).slice(0, MAX_DECISIONS);
+function sendDecisions(
+  route: RouteContext,
+  reader: DecisionReader,
+  decisions: readonly Decision[],
+): void {
+  const seen = decisions.filter((decision) => reader.canRead(decision)).slice(0, MAX_DECISIONS);
   if (seen.length === 0) return sendFault(route.response, fault('not_found', 'no such decision'));
   sendJson(route.response, 200, { decisions: seen.map((decision) => ({ ...decision })) });
 }
@@ -73,7 +80,7 @@
   mesh: PeerMesh,
   route: RouteContext,
 ): Promise<void> {
-  const reader = findReader(context, route);
+  const reader = authorizeReader(context, route);
   if (reader.isErr) return sendFault(route.response, reader.error);
   const id = route.params['id'] ?? '';
   const local = context.decisions.findLocal(id);
@@ -81,10 +88,10 @@
   const authorization = route.request.headers.authorization ?? '';
   const [stored, fromPeers] = await Promise.all([
     context.decisions.find(id),
-    askPeers(mesh, `/explain/${encodeURIComponent(id)}?local=1`, authorization),
+    queryPeers(mesh, `/explain/${encodeURIComponent(id)}?local=1`, authorization),
   ]);
-  const kept = stored.isOk ? stored.value : local;
-  sendDecisions(route, reader.value, mergeDecisions(kept, fromPeers));
+  const ownDecisions = stored.isOk ? stored.value : local;
+  sendDecisions(route, reader.value, mergeDecisions(ownDecisions, fromPeers));
 }
 
 async function explainSelection(
@@ -92,7 +99,7 @@
   mesh: PeerMesh,
   route: RouteContext,
 ): Promise<void> {
-  const reader = findReader(context, route);
+  const reader = authorizeReader(context, route);
   if (reader.isErr) return sendFault(route.response, reader.error);
   const { query } = route;
   const selector = parseSelector(query.get('selector') ?? '');
@@ -105,12 +112,12 @@
   const range = { selector, fromWallMs, toWallMs };
   const local = context.decisions.queryLocal(range);
   if (isLocalOnly(route)) return sendDecisions(route, reader.value, local);
-  const forPeers = new URLSearchParams(query);
-  forPeers.set('local', '1');
+  const peerQuery = new URLSearchParams(query);
+  peerQuery.set('local', '1');
   const authorization = route.request.headers.authorization ?? '';
   const [stored, fromPeers] = await Promise.all([
     context.decisions.query(range),
-    askPeers(mesh, `/explain?${forPeers.toString()}`, authorization),
+    queryPeers(mesh, `/explain?${peerQuery.toString()}`, authorization),
   ]);
   sendDecisions(route, reader.value, mergeDecisions(stored.isOk ? stored.value : local, fromPeers));
 }
--- a/packages/gateway/src/explain/decision-recorder.ts
+++ b/packages/gateway/src/explain/decision-recorder.ts
@@ -2,7 +2,7 @@
 import type { Decision, DecisionLog } from '@poppypond/state';
 
 /** The parts of a decision that differ from one to the next of a request. */
-export interface DecisionPart {
+export interface DecisionDetails {
   readonly kind: Decision['kind'];
   readonly choice: string;
   readonly state?: Decision['state'];
@@ -21,7 +21,7 @@
     public labels: Labels,
   ) {}
 
-  record(part: DecisionPart): void {
+  record(details: DecisionDetails): void {
     this.log.record({
       host: this.log.host,
       wallMs: this.clock.wallMs(),
@@ -31,7 +31,7 @@
       revision: this.revision,
       state: {},
       passedOver: [],
-      ...part,
+      ...details,
     });
   }
 }
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -32,17 +32,17 @@
 import { Dispatcher } from './engines/dispatcher.js';
 import { EngineDirectory } from './engines/engine-directory.js';
 import { LaneTuner } from './engines/lane-tuner.js';
-import { ReservationKeeper } from './engines/reservation-keeper.js';
+import { ReservationManager } from './engines/reservation-keeper.js';
 import { addExplainRoutes } from './explain/app.js';
-import { startDecisionCopies } from './explain/decision-copies.js';
-import { Turns } from './groups/turns.js';
-import { LeavingWatch } from './hosts/leaving-watch.js';
+import { startDecisionReplication } from './explain/decision-copies.js';
+import { Mutex } from './groups/turns.js';
+import { LeavingServersMonitor } from './hosts/leaving-watch.js';
 import { Lifecycle } from './lifecycle/lifecycle.js';
 import { createRandom } from './random.js';
 import { addServiceRoutes } from './services/app.js';
 import { HostQuarantine } from './quarantine/host-quarantine.js';
 import { ServiceDirectory } from './services/service-directory.js';
-import { reclaimTime, ShareKeeper } from './shares/share-keeper.js';
+import { reclaimDelayMs, ShareManager } from './shares/share-keeper.js';
 import type { GatewaySettings } from './settings.js';
 import { addClaimRoutes } from './status/claims-app.js';
 import { addStatusRoutes } from './status/app.js';
@@ -56,8 +56,8 @@
   stop(): Promise<void>;
 }
 
-const OUTCOME_WAIT_MS = 100;
-const MAX_OUTCOME_WAITS = 100;
+const OUTCOME_POLL_MS = 100;
+const MAX_OUTCOME_POLLS = 100;
 
 function choosePlacement(settings: GatewaySettings): Placement {
   return match(settings.placement)
@@ -89,7 +89,7 @@
 }
 
 /** When the table last answered; the start of this process counts as an answer. */
-class StoreContact {
+class LastStoreResponse {
   readonly #startedAtMs: Milliseconds;
   source: () => Milliseconds | undefined = () => undefined;
 
@@ -102,30 +102,30 @@
   }
 }
 
-interface Surroundings {
+interface ContextDependencies {
   readonly clock: Clock;
   readonly log: Log;
   readonly metrics: Metrics;
   readonly owner: Owner;
   readonly mesh: PeerMesh;
   /** When the table last answered. */
-  readonly contact: StoreContact;
+  readonly lastStoreResponse: LastStoreResponse;
 }
 
 function createContext(
   settings: GatewaySettings,
   platform: Platform,
-  surroundings: Surroundings,
+  dependencies: ContextDependencies,
 ): GatewayContext {
-  const { clock, log, metrics, owner, mesh, contact } = surroundings;
+  const { clock, log, metrics, owner, mesh, lastStoreResponse } = dependencies;
   const random: RandomSource = createRandom(settings.seed);
   const engines = new EngineDirectory(settings, owner, clock);
   const placement = choosePlacement(settings);
   const predictedStart = placement instanceof PredictedStartPlacement ? placement : undefined;
   const dispatcher = new Dispatcher(engines, placement, random, clock);
   const configuration = new ConfigurationHolder();
-  const reclaimAfterMs = reclaimTime(settings.notReadyAfterMs);
-  const shares = new ShareKeeper(mesh, platform.table, clock, owner, log, { reclaimAfterMs });
+  const reclaimAfterMs = reclaimDelayMs(settings.notReadyAfterMs);
+  const shares = new ShareManager(mesh, platform.table, clock, owner, log, { reclaimAfterMs });
   return {
     settings,
     clock,
@@ -146,8 +146,8 @@
     services: new ServiceDirectory(random, clock),
     dispatcher,
     lanes: new LaneTuner(engines, predictedStart, clock),
-    reservations: new ReservationKeeper(owner, clock),
-    groupTurns: new Turns(),
+    reservations: new ReservationManager(owner, clock),
+    groupReservationMutex: new Mutex(),
     shares,
     correction: new TokenCorrection(),
     retries: new RetryBudget(settings.retryShare, settings.retryReserve),
@@ -155,20 +155,21 @@
     decisions: new DecisionLog(settings.host, platform.objects, clock, settings.decisionRing),
     ledger: new AtMostOnceLedger(platform.table, clock, owner),
     lifecycle: new Lifecycle(clock),
-    isCutOff: () =>
-      mesh.linked().length === 0 && clock.monotonicMs() - contact.atMs() > settings.notReadyAfterMs,
+    isIsolated: () =>
+      mesh.linked().length === 0 &&
+      clock.monotonicMs() - lastStoreResponse.atMs() > settings.notReadyAfterMs,
     hostCount: () => 1 + mesh.members().length,
   };
 }
 
-function followConfiguration(context: GatewayContext): void {
+function subscribeToConfiguration(context: GatewayContext): void {
   context.engines.onChange = () => {
-    context.dispatcher.pump();
+    context.dispatcher.processQueue();
   };
   context.configuration.onChange((configuration) => {
     context.engines.sync(configuration);
     context.services.sync(configuration);
-    context.dispatcher.pump();
+    context.dispatcher.processQueue();
   });
 }
 
@@ -180,9 +181,9 @@
 ): Promise<void> {
   context.log.info('stopping', { inProgress: context.lifecycle.inProgress });
   await context.lifecycle.drain(context.settings.drainDelayMs);
-  for (let waits = 0; context.ledger.pendingOutcomes > 0 && waits < MAX_OUTCOME_WAITS; waits += 1) {
+  for (let polls = 0; context.ledger.pendingOutcomes > 0 && polls < MAX_OUTCOME_POLLS; polls += 1) {
     await new Promise<void>((resolve) => {
-      context.clock.after(OUTCOME_WAIT_MS, resolve);
+      context.clock.after(OUTCOME_POLL_MS, resolve);
     });
   }
   await context.shares.returnAll();
@@ -217,13 +218,20 @@
   const owner = newOwner(settings.host);
   const self = { ...owner, zone: settings.zone, peerUrl, callerUrl: server.url };
   const mesh = new PeerMesh({ ...settings, self, seeds: settings.peers }, clock, peerServer.server);
-  const contact = new StoreContact(clock);
-  const context = createContext(settings, platform, { clock, log, metrics, owner, mesh, contact });
+  const lastStoreResponse = new LastStoreResponse(clock);
+  const context = createContext(settings, platform, {
+    clock,
+    log,
+    metrics,
+    owner,
+    mesh,
+    lastStoreResponse,
+  });
   const sync = new ConfigurationSync(context, platform.table, mesh);
-  contact.source = () => sync.storeContactAtMs;
-  followConfiguration(context);
-  new LeavingWatch(platform.hosts, mesh, context.engines, context.services, clock);
-  startDecisionCopies(mesh, context.decisions, clock);
+  lastStoreResponse.source = () => sync.lastStoreResponseAtMs;
+  subscribeToConfiguration(context);
+  new LeavingServersMonitor(platform.hosts, mesh, context.engines, context.services, clock);
+  startDecisionReplication(mesh, context.decisions, clock);
   clock.every(settings.decisionFlushMs, () => {
     void context.decisions.flush();
   });
--- a/packages/gateway/src/groups/group-run.ts
+++ b/packages/gateway/src/groups/group-run.ts
@@ -6,39 +6,39 @@
 import type { EngineState, GroupPart } from '@poppypond/policy';
 import type { CompletionRun } from '../completions/completion-run.js';
 import type { GatewayContext } from '../context.js';
-import type { OpenEngine } from '../engines/engine-directory.js';
+import type { AvailableEngine } from '../engines/engine-directory.js';
 import { RESERVATION_TTL_MS } from '../engines/reservation-keeper.js';
-import type { KeptReservation } from '../engines/reservation-keeper.js';
+import type { EngineReservation } from '../engines/reservation-keeper.js';
 import type { WatchedEngine } from '../engines/watched-engine.js';
 
 const MEMORY_MARGIN = 0.02;
-const REPLAN_MS = 50;
-const FIRST_BACK_OFF_MS = 20;
-const LONGEST_BACK_OFF_MS = 640;
+const REPLAN_PERIOD_MS = 50;
+const INITIAL_BACKOFF_MS = 20;
+const MAX_BACKOFF_MS = 640;
 /** After this wait, this host gives no other long work to the engines that groups may use. */
 const KEEP_FREE_AFTER_MS = 300;
 
-interface ReservedPart extends KeptReservation {
+interface ReservedPart extends EngineReservation {
   readonly engine: WatchedEngine;
   readonly text: string;
   readonly tokens: number;
 }
 
 type GroupRun = CompletionRun<GatewayContext>;
-type PartsEnd = 'finished' | 'again' | Fault;
+type PartsOutcome = 'finished' | 'again' | Fault;
 
 /** Engines that groups may use: the end of each pool's order, away from the short lane. */
-function groupEngines(run: GroupRun): readonly OpenEngine[] {
+function eligibleEngines(run: GroupRun): readonly AvailableEngine[] {
   const { context, request } = run;
   return request.resolution.pools.flatMap(({ object: pool }) => {
-    const open = context.engines.open([pool.name], request.body.model);
-    const count = groupEngineCount(open.length, pool.spec.groupShare);
-    return open.slice(open.length - count);
+    const available = context.engines.listAvailable([pool.name], request.body.model);
+    const count = groupEngineCount(available.length, pool.spec.groupShare);
+    return available.slice(available.length - count);
   });
 }
 
 /** Says for the explanation which memory was there and which was needed. */
-function describeLack({ request }: GroupRun, states: readonly EngineState[]): string {
+function describeMemoryShortage({ request }: GroupRun, states: readonly EngineState[]): string {
   const needed = request.promptTokens + request.body.maxTokens;
   const free = states.map(
     ({ id, kvTokens, heldTokens }) => `${id} ${String(kvTokens - heldTokens)}`,
@@ -49,53 +49,52 @@
 /** Waits until a plan fits the free memory; undefined when the time is up. */
 async function waitForPlan(run: GroupRun): Promise<readonly GroupPart[] | undefined> {
   const { context, request } = run;
-  const since = context.clock.monotonicMs();
+  const startedAtMs = context.clock.monotonicMs();
   while (!run.signal.aborted) {
-    const engines = groupEngines(run);
+    const engines = eligibleEngines(run);
     const states = engines.map(({ state }) => state);
     const { promptTokens, body } = request;
     const plan = planGroup(promptTokens, body.maxTokens, states, BLOCK_TOKENS, MEMORY_MARGIN);
-    run.setAwaited(plan ? '' : describeLack(run, states));
+    run.setWaitReason(plan ? '' : describeMemoryShortage(run, states));
     if (plan) return plan;
-    if (context.clock.monotonicMs() - since > KEEP_FREE_AFTER_MS) {
-      context.dispatcher.keepFor(new Set(states.map((state) => state.id)));
+    if (context.clock.monotonicMs() - startedAtMs > KEEP_FREE_AFTER_MS) {
+      context.dispatcher.keepFreeForGroup(new Set(states.map((state) => state.id)));
     }
-    await delay(context.clock, REPLAN_MS);
+    await delay(context.clock, REPLAN_PERIOD_MS);
   }
   return undefined;
 }
 
 /** The prompt's text for each part; a part never exceeds what is reserved for it. */
-function cutTexts(
+function splitPrompt(
   prompt: string,
   plan: readonly GroupPart[],
   maxTokens: number,
 ): readonly string[] {
   const texts: string[] = [];
-  let rest = prompt;
+  let remainingText = prompt;
   plan.forEach((part, index) => {
     const isLast = index === plan.length - 1;
-    const tokens = isLast ? estimateTokens(rest) : part.tokens;
-    const text = isLast ? rest : (splitAtBlocks(rest, tokens)[0] ?? '');
+    const tokens = isLast ? estimateTokens(remainingText) : part.tokens;
+    const text = isLast ? remainingText : (splitAtBlocks(remainingText, tokens)[0] ?? '');
     texts.push(text);
-    rest = rest.slice(text.length);
+    remainingText = remainingText.slice(text.length);
   });
   const last = plan.at(-1);
-  const isFitting =
-    last !== undefined && estimateTokens(texts.at(-1) ?? '') + maxTokens <= last.tokens;
-  return isFitting ? texts : [];
+  const fits = last !== undefined && estimateTokens(texts.at(-1) ?? '') + maxTokens <= last.tokens;
+  return fits ? texts : [];
 }
 
 /** Reserves every part in order, or none. Never waits while it holds one, so no two deadlock. */
-async function reserveAll(
+async function tryReserveAll(
   run: GroupRun,
   plan: readonly GroupPart[],
 ): Promise<readonly ReservedPart[] | undefined> {
   const { context, request } = run;
-  const texts = cutTexts(request.body.prompt, plan, request.body.maxTokens);
+  const texts = splitPrompt(request.body.prompt, plan, request.body.maxTokens);
   if (texts.length !== plan.length) return undefined;
   const reserved: ReservedPart[] = [];
-  const attempt = run.nextAttempt();
+  const attempt = run.nextAttemptNumber();
   for (const [index, part] of plan.entries()) {
     const engine = context.engines.find(part.engineId);
     const result = engine
@@ -109,16 +108,16 @@
         })
       : undefined;
     if (!engine || !result?.isOk || run.signal.aborted) {
-      if (engine && result?.isOk) reserved.push(keepPart(run, engine, result.value, '', 0));
+      if (engine && result?.isOk) reserved.push(trackPart(run, engine, result.value, '', 0));
       await context.reservations.release(reserved);
       return undefined;
     }
-    reserved.push(keepPart(run, engine, result.value, texts[index] ?? '', part.tokens));
+    reserved.push(trackPart(run, engine, result.value, texts[index] ?? '', part.tokens));
   }
   return reserved;
 }
 
-function keepPart(
+function trackPart(
   run: GroupRun,
   engine: WatchedEngine,
   id: string,
@@ -126,12 +125,12 @@
   tokens: number,
 ): ReservedPart {
   const part = { engine, engineUrl: engine.url, id, text, tokens };
-  run.context.reservations.keep(part);
+  run.context.reservations.track(part);
   return part;
 }
 
 /** Prefills the parts one after another; the last imports the others and generates. */
-async function runParts(run: GroupRun, parts: readonly ReservedPart[]): Promise<PartsEnd> {
+async function runParts(run: GroupRun, parts: readonly ReservedPart[]): Promise<PartsOutcome> {
   const { context, request } = run;
   const imports: string[] = [];
   for (const [index, part] of parts.entries()) {
@@ -144,7 +143,7 @@
       {
         engineUrl: part.engineUrl,
         requestId: request.id,
-        attempt: run.nextAttempt(),
+        attempt: run.nextAttemptNumber(),
         owner: formatOwner(context.owner),
         dispatch,
         priority: request.priority,
@@ -159,7 +158,7 @@
       },
       {
         onAccepted: () => {
-          run.onStartedOnEngine();
+          run.onEngineStarted();
         },
         onToken: (tokenIndex, text) => {
           run.onToken(tokenIndex, text);
@@ -168,16 +167,16 @@
       run.signal,
     );
     run.ends.begin();
-    const end = await run.watchAttempt(attempt);
+    const end = await run.trackAttempt(attempt);
     part.engine.load.onEnd(dispatch);
     if (end.kind === 'refused' && end.backoffMs !== undefined) {
       part.engine.health.onBackoffRequested(end.backoffMs, context.clock.monotonicMs());
     }
-    if (end.kind === 'cut') await run.ends.onCut(part.engine.name, part.engineUrl);
+    if (end.kind === 'cut') await run.ends.onResponseCut(part.engine.name, part.engineUrl);
     if (end.kind === 'time_limit') return fault('time_limit', '', { rule: request.rule });
     if (end.kind === 'cancelled') return fault('cancelled_running', '');
     if (end.kind !== 'done') {
-      run.recordGroupFailure(part.engine.name, end);
+      run.recordGroupPartFailure(part.engine.name, end);
       return context.retries.tryTake()
         ? 'again'
         : fault('incomplete', `${part.engine.name}: ${end.kind}`, { rule: request.rule });
@@ -208,37 +207,37 @@
  */
 function checkFits(run: GroupRun): Fault | undefined {
   const { context, request } = run;
-  const memories = request.resolution.pools.flatMap(({ object: pool }) => {
-    const known = [...context.engines.knownMemory(pool.name)].sort((a, b) => b - a);
+  const engineMemory = request.resolution.pools.flatMap(({ object: pool }) => {
+    const known = [...context.engines.reportedMemory(pool.name)].sort((a, b) => b - a);
     return known.slice(0, groupEngineCount(known.length, pool.spec.groupShare));
   });
-  const most = memories.reduce((sum, tokens) => sum + tokens * (1 - MEMORY_MARGIN), 0);
+  const most = engineMemory.reduce((sum, tokens) => sum + tokens * (1 - MEMORY_MARGIN), 0);
   if (request.promptTokens + request.body.maxTokens <= most) return undefined;
-  const detail = `${String(memories.length)} engines that groups may use hold ${most.toFixed(0)}`;
+  const detail = `${String(engineMemory.length)} engines that groups may use hold ${most.toFixed(0)}`;
   return fault('prompt_too_long', detail, { rule: request.rule, path: 'prompt' });
 }
 
 /** Plans and reserves until it succeeds; undefined when the time is up. */
-async function assemble(run: GroupRun): Promise<readonly ReservedPart[] | undefined> {
+async function planAndReserve(run: GroupRun): Promise<readonly ReservedPart[] | undefined> {
   const { context } = run;
-  run.setAwaited('its turn to reserve memory');
-  const endTurn = await context.groupTurns.take();
+  run.setWaitReason('its turn to reserve memory');
+  const unlock = await context.groupReservationMutex.lock();
   try {
-    let backOffMs = FIRST_BACK_OFF_MS;
+    let backoffMs = INITIAL_BACKOFF_MS;
     for (let tries = 1; !run.signal.aborted; tries += 1) {
       const plan = await waitForPlan(run);
-      const parts = plan ? await reserveAll(run, plan) : undefined;
+      const parts = plan ? await tryReserveAll(run, plan) : undefined;
       if (parts) {
         recordPlan(run, parts, tries);
         return parts;
       }
-      await delay(context.clock, backOffMs * context.random.next());
-      backOffMs = Math.min(LONGEST_BACK_OFF_MS, backOffMs * 2);
+      await delay(context.clock, backoffMs * context.random.next());
+      backoffMs = Math.min(MAX_BACKOFF_MS, backoffMs * 2);
     }
     return undefined;
   } finally {
-    context.dispatcher.keepFor(new Set());
-    endTurn();
+    context.dispatcher.keepFreeForGroup(new Set());
+    unlock();
   }
 }
 
@@ -248,13 +247,13 @@
   const tooLong = checkFits(run);
   if (tooLong) return tooLong;
   for (;;) {
-    const held = run.ends.heldBecause();
+    const held = run.ends.checkHold();
     if (held) return held;
-    const parts = await assemble(run);
+    const parts = await planAndReserve(run);
     if (!parts) break;
     const end = await runParts(run, parts);
     await context.reservations.release(parts);
-    context.dispatcher.pump();
+    context.dispatcher.processQueue();
     if (end !== 'again') return end;
   }
   return fault('wait_expired', 'not enough memory was free on the engines', {
--- a/packages/gateway/src/groups/turns.test.ts
+++ b/packages/gateway/src/groups/turns.test.ts
@@ -1,24 +1,24 @@
 import { flushPromises } from '@poppypond/mocks';
 import { describe, expect, it } from 'vitest';
-import { Turns } from './turns.js';
+import { Mutex } from './turns.js';
 
 describe('Turns', () => {
   it('lets one at a time through, in order', async () => {
-    const turns = new Turns();
+    const mutex = new Mutex();
     const order: string[] = [];
-    const enter = async (name: string) => {
-      const end = await turns.take();
+    const lockAndRecord = async (name: string) => {
+      const end = await mutex.lock();
       order.push(name);
       return end;
     };
-    const entering = ['a', 'b', 'c'].map(enter);
+    const locking = ['a', 'b', 'c'].map(lockAndRecord);
     await flushPromises();
     expect(order).toEqual(['a']);
-    (await entering[0])?.();
+    (await locking[0])?.();
     await flushPromises();
     expect(order).toEqual(['a', 'b']);
-    (await entering[1])?.();
-    await entering[2];
+    (await locking[1])?.();
+    await locking[2];
     expect(order).toEqual(['a', 'b', 'c']);
   });
 });
--- a/packages/gateway/src/groups/turns.ts
+++ b/packages/gateway/src/groups/turns.ts
@@ -1,18 +1,18 @@
 /** Ends a turn; calling it again has no effect. */
-export type EndTurn = () => void;
+export type Unlock = () => void;
 
 /**
  * Lets one at a time through, in order of arrival. Groups of one host take turns to reserve
  * memory: without this they took parts from each other and all of them had to back off.
  */
-export class Turns {
-  #last: Promise<void> = Promise.resolve();
+export class Mutex {
+  #lastRelease: Promise<void> = Promise.resolve();
 
   /** Resolves when it is this caller's turn. */
-  async take(): Promise<EndTurn> {
-    const before = this.#last;
-    let end: EndTurn = () => undefined;
-    this.#last = new Promise((resolve) => {
+  async lock(): Promise<Unlock> {
+    const before = this.#lastRelease;
+    let end: Unlock = () => undefined;
+    this.#lastRelease = new Promise((resolve) => {
       end = resolve;
     });
     await before;
--- a/packages/gateway/src/hosts/leaving-watch.ts
+++ b/packages/gateway/src/hosts/leaving-watch.ts
@@ -5,10 +5,10 @@
 import type { EngineDirectory } from '../engines/engine-directory.js';
 import type { ServiceDirectory } from '../services/service-directory.js';
 
-const LEAVING = 'servers-leaving';
+const LEAVING_MESSAGE = 'servers-leaving';
 const POLL_MS = 1000;
 /** What a peer says counts for this long after it was last said. */
-const PEER_WORD_MS = 5000;
+const PEER_REPORT_TTL_MS = 5000;
 
 const leavingSchema = z.object({ servers: z.array(z.string()) });
 
@@ -16,9 +16,9 @@
  * Joins what is known about backend servers that are leaving: the platform's host list, which
  * lags, the servers' own word, and what peers have heard. Own word is checked by the directories.
  */
-export class LeavingWatch {
+export class LeavingServersMonitor {
   #listed: ReadonlySet<string> = new Set();
-  readonly #byPeers = new Map<string, Milliseconds>();
+  readonly #reportedByPeers = new Map<string, Milliseconds>();
 
   constructor(
     readonly hosts: PlatformHosts,
@@ -27,9 +27,9 @@
     readonly services: ServiceDirectory,
     readonly clock: Clock,
   ) {
-    mesh.on(LEAVING, leavingSchema, (_from, { servers }) => {
-      for (const server of servers) this.#byPeers.set(server, clock.monotonicMs());
-      this.#apply();
+    mesh.on(LEAVING_MESSAGE, leavingSchema, (_from, { servers }) => {
+      for (const server of servers) this.#reportedByPeers.set(server, clock.monotonicMs());
+      this.#updateDirectories();
     });
     clock.every(POLL_MS, () => {
       void this.#poll();
@@ -42,23 +42,26 @@
       const leaving = [...listed.value].filter(([, state]) => state !== 'live');
       this.#listed = new Set(leaving.map(([name]) => name));
     }
-    this.#tell();
-    this.#apply();
+    this.#broadcastSelfReported();
+    this.#updateDirectories();
   }
 
   /** Passes on what this host heard from servers themselves; repeated while it is so. */
-  #tell(): void {
-    const own = [...this.engines.leavingByOwnWord(), ...this.services.leavingByOwnWord()];
-    if (own.length > 0) this.mesh.broadcast(LEAVING, { servers: own });
+  #broadcastSelfReported(): void {
+    const selfReported = [
+      ...this.engines.selfReportedLeaving(),
+      ...this.services.selfReportedLeaving(),
+    ];
+    if (selfReported.length > 0) this.mesh.broadcast(LEAVING_MESSAGE, { servers: selfReported });
   }
 
-  #apply(): void {
+  #updateDirectories(): void {
     const now = this.clock.monotonicMs();
-    for (const [server, atMs] of this.#byPeers) {
-      if (now - atMs > PEER_WORD_MS) this.#byPeers.delete(server);
+    for (const [server, atMs] of this.#reportedByPeers) {
+      if (now - atMs > PEER_REPORT_TTL_MS) this.#reportedByPeers.delete(server);
     }
-    const leaving = new Set([...this.#listed, ...this.#byPeers.keys()]);
-    this.engines.setLeaving(leaving);
-    this.services.setLeaving(leaving);
+    const leaving = new Set([...this.#listed, ...this.#reportedByPeers.keys()]);
+    this.engines.setLeavingServers(leaving);
+    this.services.setLeavingServers(leaving);
   }
 }
--- a/packages/gateway/src/lifecycle/lifecycle.ts
+++ b/packages/gateway/src/lifecycle/lifecycle.ts
@@ -23,7 +23,7 @@
     return this.#state !== 'starting' && this.#state !== 'serving';
   }
 
-  get takesNewRequests(): boolean {
+  get acceptsRequests(): boolean {
     return this.#state === 'serving' || this.#state === 'draining';
   }
 
@@ -44,10 +44,10 @@
   }
 
   /** Leaves the balancer, then takes nothing new, then resolves when all requests have ended. */
-  async drain(leaveMs: Milliseconds): Promise<void> {
+  async drain(drainDelayMs: Milliseconds): Promise<void> {
     this.#state = 'draining';
     await new Promise<void>((resolve) => {
-      this.clock.after(leaveMs, resolve);
+      this.clock.after(drainDelayMs, resolve);
     });
     this.#state = 'closed_to_new';
     if (this.#inProgress > 0) {
--- a/packages/gateway/src/quarantine/host-quarantine.test.ts
+++ b/packages/gateway/src/quarantine/host-quarantine.test.ts
@@ -5,9 +5,9 @@
 import { HostQuarantine } from './host-quarantine.js';
 
 const CONTENT = { head: ['w', 'm'], body: Buffer.from('a prompt') };
-const MOST_ATTEMPTS = 10;
+const MAX_ATTEMPTS = 10;
 
-function make(state: () => ProbeResult) {
+function createQuarantine(state: () => ProbeResult) {
   const clock = new ManualClock();
   const ask = () => Promise.resolve(state());
   const parts = { clock, log: silentLog, metrics: silentMetrics, host: 'h', ask };
@@ -15,38 +15,38 @@
 }
 
 /** One try: attempts until something keeps it from another; how many servers were given it. */
-async function tryOnce(quarantine: HostQuarantine, content = CONTENT): Promise<number> {
-  const request = quarantine.follow(content);
-  for (let attempts = 0; attempts < MOST_ATTEMPTS; attempts += 1) {
-    if (request.heldBecause()) return attempts;
+async function runRequest(quarantine: HostQuarantine, content = CONTENT): Promise<number> {
+  const request = quarantine.track(content);
+  for (let attempts = 0; attempts < MAX_ATTEMPTS; attempts += 1) {
+    if (request.checkHold()) return attempts;
     request.begin();
-    await request.onCut(`s${String(attempts)}`, 'http://127.0.0.1:1');
+    await request.onResponseCut(`s${String(attempts)}`, 'http://127.0.0.1:1');
   }
-  return MOST_ATTEMPTS;
+  return MAX_ATTEMPTS;
 }
 
 describe('HostQuarantine', () => {
   it('gives a request that ends servers to three of them, over all its tries, and others to as many as before', async () => {
-    const { clock, quarantine } = make(() => 'refused');
-    expect(await tryOnce(quarantine)).toBe(3);
-    for (let tries = 0; tries < 20; tries += 1) expect(await tryOnce(quarantine)).toBe(0);
-    const held = quarantine.follow(CONTENT).heldBecause();
+    const { clock, quarantine } = createQuarantine(() => 'refused');
+    expect(await runRequest(quarantine)).toBe(3);
+    for (let tries = 0; tries < 20; tries += 1) expect(await runRequest(quarantine)).toBe(0);
+    const held = quarantine.track(CONTENT).checkHold();
     expect(held).toMatchObject({ code: 'quarantined', retryAfterMs: 20_000 });
     expect(held?.detail).toContain('s0, s1, s2');
-    expect(quarantine.follow({ ...CONTENT, head: ['other', 'm'] }).heldBecause()).toBeUndefined();
+    expect(quarantine.track({ ...CONTENT, head: ['other', 'm'] }).checkHold()).toBeUndefined();
     await clock.advance(20_000);
-    expect(await tryOnce(quarantine)).toBe(1);
+    expect(await runRequest(quarantine)).toBe(1);
   });
 
   it('counts no broken answer of a server that lives, and frees a request that is served', async () => {
     let state: ProbeResult = 'listening';
-    const { quarantine } = make(() => state);
-    expect(await tryOnce(quarantine)).toBe(MOST_ATTEMPTS);
+    const { quarantine } = createQuarantine(() => state);
+    expect(await runRequest(quarantine)).toBe(MAX_ATTEMPTS);
     state = 'refused';
-    const inFlight = quarantine.follow(CONTENT);
-    await tryOnce(quarantine);
-    expect(quarantine.follow(CONTENT).heldBecause()).toBeDefined();
+    const inFlight = quarantine.track(CONTENT);
+    await runRequest(quarantine);
+    expect(quarantine.track(CONTENT).checkHold()).toBeDefined();
     inFlight.onServed();
-    expect(quarantine.follow(CONTENT).heldBecause()).toBeUndefined();
+    expect(quarantine.track(CONTENT).checkHold()).toBeUndefined();
   });
 });
--- a/packages/gateway/src/quarantine/host-quarantine.ts
+++ b/packages/gateway/src/quarantine/host-quarantine.ts
@@ -22,10 +22,10 @@
   readonly ask?: (server: ServerEndpoint) => Promise<ProbeResult>;
 }
 
-function placeOf(url: string): ServerEndpoint {
+function endpointOf(url: string): ServerEndpoint {
   const { hostname, port, protocol } = new URL(url);
-  const usualPort = protocol === 'https:' ? 443 : 80;
-  return { address: hostname, port: port === '' ? usualPort : Number(port) };
+  const defaultPort = protocol === 'https:' ? 443 : 80;
+  return { address: hostname, port: port === '' ? defaultPort : Number(port) };
 }
 
 /**
@@ -39,8 +39,8 @@
   constructor(readonly parts: HostQuarantineParts) {}
 
   /** Follows one request. */
-  follow(request: RequestContent): RequestEnds {
-    return new RequestEnds(this, new FollowedRequest(this, request));
+  track(request: RequestContent): TerminationDetector {
+    return new TerminationDetector(this, new FollowedRequest(this, request));
   }
 
   mayContain(hint: () => string): boolean {
@@ -59,8 +59,8 @@
     return this.#quarantine.judge(content, this.parts.clock.monotonicMs());
   }
 
-  quarantinedForMs({ quarantinedUntilMs: heldUntilMs }: QuarantineEntry): Milliseconds {
-    return Math.max(0, heldUntilMs - this.parts.clock.monotonicMs());
+  quarantinedForMs({ quarantinedUntilMs }: QuarantineEntry): Milliseconds {
+    return Math.max(0, quarantinedUntilMs - this.parts.clock.monotonicMs());
   }
 
   onTermination(content: string, began: TerminationHistory, server: string): QuarantineEntry {
@@ -79,8 +79,8 @@
 }
 
 /** Finds out which servers ended under one request, whose attempts run one after the other. */
-export class RequestEnds {
-  #attempts = 0;
+export class TerminationDetector {
+  #attemptCount = 0;
 
   constructor(
     readonly quarantine: HostQuarantine,
@@ -88,7 +88,7 @@
   ) {}
 
   /** Why it is not run now; undefined where it may be. */
-  heldBecause(): Fault | undefined {
+  checkHold(): Fault | undefined {
     const held = this.followed.checkHold();
     if (!held) return undefined;
     const servers = held.entry.lastTerminations.map(({ server }) => server).join(', ');
@@ -98,8 +98,8 @@
 
   /** It is given to a server. */
   begin(): void {
-    this.#attempts += 1;
-    this.followed.begin(this.#attempt);
+    this.#attemptCount += 1;
+    this.followed.begin(this.#attemptId);
   }
 
   /** It was served. */
@@ -108,14 +108,14 @@
   }
 
   /** An answer broke off; resolves when it is known whether its server has ended. */
-  async onCut(server: string, url: string): Promise<void> {
+  async onResponseCut(server: string, url: string): Promise<void> {
     const { clock, ask } = this.quarantine.parts;
-    const place = placeOf(url);
+    const place = endpointOf(url);
     const state = await (ask ? ask(place) : probeServer(clock, place));
-    if (state !== 'listening') this.followed.onTerminated(this.#attempt, server);
+    if (state !== 'listening') this.followed.onTerminated(this.#attemptId, server);
   }
 
-  get #attempt(): string {
-    return String(this.#attempts);
+  get #attemptId(): string {
+    return String(this.#attemptCount);
   }
 }
--- a/packages/gateway/src/services/app.ts
+++ b/packages/gateway/src/services/app.ts
@@ -7,15 +7,15 @@
 import { REQUEST_ID_HEADER } from '../completions/answer.js';
 import type { GatewayContext } from '../context.js';
 import { DecisionRecorder } from '../explain/decision-recorder.js';
-import { dispatch, runOnce } from './dispatch-call.js';
-import type { AnsweredEnd } from './dispatch-call.js';
-import { labelsOf, readRequest, resolveCall } from './resolve-call.js';
+import { dispatch, callAtMostOnce } from './dispatch-call.js';
+import type { ServiceResponse } from './dispatch-call.js';
+import { callLabels, readRequest, resolveCall } from './resolve-call.js';
 
 function answer(
   context: GatewayContext,
   response: ServerResponse,
   recorder: DecisionRecorder,
-  result: Result<AnsweredEnd, Fault>,
+  result: Result<ServiceResponse, Fault>,
 ): void {
   const headers = { [REQUEST_ID_HEADER]: recorder.requestId };
   const code = result.isOk ? 'ok' : result.error.code;
@@ -42,12 +42,12 @@
   });
   const read = await readRequest(context, id, route);
   if (read.isErr) return answer(context, route.response, recorder, Result.err(read.error));
-  recorder.labels = labelsOf(read.value);
+  recorder.labels = callLabels(read.value);
   const call = resolveCall(context, read.value);
   if (call.isErr) return answer(context, route.response, recorder, Result.err(call.error));
   recorder.rule = call.value.rule;
   const result = call.value.runsAtMostOnce
-    ? await runOnce(context, call.value, recorder)
+    ? await callAtMostOnce(context, call.value, recorder)
     : await dispatch(context, call.value, recorder, abort.signal);
   answer(context, route.response, recorder, result);
 }
--- a/packages/gateway/src/services/dispatch-call.ts
+++ b/packages/gateway/src/services/dispatch-call.ts
@@ -12,24 +12,24 @@
 import type { ServiceReplica } from './service-directory.js';
 
 /** A whole answer of a replica. */
-export type AnsweredEnd = Extract<ServiceEnd, { readonly kind: 'answered' }>;
+export type ServiceResponse = Extract<ServiceEnd, { readonly kind: 'answered' }>;
 
 const RETRY_AFTER_MS: Milliseconds = 1000;
 
 /** A call that an attempt may have run is not told to be not run. */
-function notRunFault(held: Fault, hasRun: boolean): Fault {
+function holdFault(held: Fault, hasRun: boolean): Fault {
   return hasRun ? fault('outcome_unknown', held.detail) : held;
 }
 
 /** Takes in what the end of a call tells of its replica, and what the replica says of itself. */
-function noteHealth(
+function updateHealth(
   { health }: ServiceReplica,
   end: ServiceEnd,
   isAborted: boolean,
   nowMs: Milliseconds,
 ): void {
-  const restMs = end.kind === 'unknown' ? undefined : end.backoffMs;
-  if (restMs !== undefined) health.onBackoffRequested(restMs, nowMs);
+  const backoffMs = end.kind === 'unknown' ? undefined : end.backoffMs;
+  if (backoffMs !== undefined) health.onBackoffRequested(backoffMs, nowMs);
   else if (end.kind === 'answered') health.onSuccess();
   if (end.kind === 'answered') return;
   if (isAborted) health.onInconclusiveEnd();
@@ -42,23 +42,23 @@
   call: ResolvedCall,
   recorder: DecisionRecorder,
   signal: AbortSignal,
-): Promise<Result<AnsweredEnd, Fault>> {
-  const avoid = new Set<string>();
+): Promise<Result<ServiceResponse, Fault>> {
+  const triedReplicas = new Set<string>();
   let hasRun = false;
   const isSafe = SAFE_METHODS.has(call.method);
-  const head = [call.caller.workspace, call.method, call.service, call.rest];
-  const ends = context.quarantine.follow({ head, body: call.bytes });
+  const head = [call.caller.workspace, call.method, call.service, call.pathAndQuery];
+  const ends = context.quarantine.track({ head, body: call.bytes });
   context.retries.onFirstAttempt();
   for (;;) {
     const remainingMs = call.deadlineMs - context.clock.monotonicMs();
     if (remainingMs <= 0) return Result.err(fault('wait_expired', '', { rule: call.rule }));
-    const held = ends.heldBecause();
-    if (held) return Result.err(notRunFault(held, hasRun));
-    const replica = context.services.choose(call.service, call.members, avoid);
+    const held = ends.checkHold();
+    if (held) return Result.err(holdFault(held, hasRun));
+    const replica = context.services.choose(call.service, call.members, triedReplicas);
     if (!replica) {
-      const detail = avoid.size > 0 ? 'every replica refused' : '';
-      const restMs = context.services.restLeftMs(call.service, call.members);
-      const retryAfterMs = Math.max(RETRY_AFTER_MS, restMs ?? 0);
+      const detail = triedReplicas.size > 0 ? 'every replica refused' : '';
+      const backoffMs = context.services.remainingBackoffMs(call.service, call.members);
+      const retryAfterMs = Math.max(RETRY_AFTER_MS, backoffMs ?? 0);
       return Result.err(fault('no_backend', detail, { rule: call.rule, retryAfterMs }));
     }
     const { name, spec } = replica.server.object;
@@ -68,7 +68,7 @@
     replica.health.onAttempt(context.clock.monotonicMs());
     const end = await callService({
       method: call.method,
-      url: `${spec.url}/${call.rest}`,
+      url: `${spec.url}/${call.pathAndQuery}`,
       requestId: call.id,
       contentType: call.contentType,
       body: call.bytes,
@@ -77,14 +77,14 @@
       mayRepeat: isSafe,
     });
     replica.outstanding -= 1;
-    noteHealth(replica, end, signal.aborted, context.clock.monotonicMs());
+    updateHealth(replica, end, signal.aborted, context.clock.monotonicMs());
     if (end.kind === 'answered') {
       ends.onServed();
       return Result.ok(end);
     }
     if (end.kind === 'unknown') {
       hasRun = true;
-      await ends.onCut(name, spec.url);
+      await ends.onResponseCut(name, spec.url);
     }
     const mayRepeat = (end.kind === 'not_run' || isSafe) && !signal.aborted;
     if (!mayRepeat || !context.retries.tryTake()) {
@@ -92,13 +92,13 @@
       return Result.err(fault(code, end.detail, { rule: call.rule }));
     }
     recorder.record({ kind: 'retry', choice: 'again', state: { server: name, why: end.detail } });
-    avoid.add(name);
+    triedReplicas.add(name);
   }
 }
 
 function requestHash(call: ResolvedCall): string {
   const hash = createHash('sha256');
-  hash.update(`${call.service}\n${call.method}\n${call.rest}\n`);
+  hash.update(`${call.service}\n${call.method}\n${call.pathAndQuery}\n`);
   return hash.update(call.bytes).digest('hex');
 }
 
@@ -106,7 +106,7 @@
 function recordOutcome(
   context: GatewayContext,
   claim: Claim,
-  result: Result<AnsweredEnd, Fault>,
+  result: Result<ServiceResponse, Fault>,
 ): void {
   if (result.isOk) {
     const { status, contentType, body } = result.value;
@@ -117,11 +117,11 @@
 }
 
 /** Calls a replica at most once for the caller's key; the answer of an earlier call is given again. */
-export async function runOnce(
+export async function callAtMostOnce(
   context: GatewayContext,
   call: ResolvedCall,
   recorder: DecisionRecorder,
-): Promise<Result<AnsweredEnd, Fault>> {
+): Promise<Result<ServiceResponse, Fault>> {
   const key = call.headers.idempotencyKey ?? '';
   const claimed = await context.ledger.claim(call.caller.workspace, key, requestHash(call));
   if (claimed.isErr) return Result.err({ ...claimed.error, rule: call.rule });
--- a/packages/gateway/src/services/resolve-call.ts
+++ b/packages/gateway/src/services/resolve-call.ts
@@ -15,7 +15,7 @@
 export interface ServiceRequest {
   readonly id: string;
   readonly service: string;
-  readonly rest: string;
+  readonly pathAndQuery: string;
   readonly method: string;
   readonly contentType: string;
   readonly caller: Caller;
@@ -36,7 +36,7 @@
 /** Methods whose calls may be made twice. */
 export const SAFE_METHODS: ReadonlySet<string> = new Set(['GET', 'HEAD']);
 const DEFAULT_TIME_LIMIT_MS: Milliseconds = 30_000;
-const STOPPING_RETRY_MS: Milliseconds = 1000;
+const STOPPING_RETRY_AFTER_MS: Milliseconds = 1000;
 const MAX_SERVICE_BODY_BYTES = 1_000_000;
 
 /** Reads and authenticates a call. */
@@ -47,8 +47,8 @@
 ): Promise<Result<ServiceRequest, Fault>> {
   const { request, params, query } = route;
   const arrivedAtMs = context.clock.monotonicMs();
-  if (!context.lifecycle.takesNewRequests) {
-    return Result.err(fault('stopping', '', { retryAfterMs: STOPPING_RETRY_MS }));
+  if (!context.lifecycle.acceptsRequests) {
+    return Result.err(fault('stopping', '', { retryAfterMs: STOPPING_RETRY_AFTER_MS }));
   }
   const caller = authenticate(request, context.configuration.current);
   if (caller.isErr) return Result.err(caller.error);
@@ -59,7 +59,7 @@
   return body.map((bytes) => ({
     id,
     service: params['name'] ?? '',
-    rest: `${params['rest'] ?? ''}${search === '' ? '' : `?${search}`}`,
+    pathAndQuery: `${params['rest'] ?? ''}${search === '' ? '' : `?${search}`}`,
     method: request.method ?? 'GET',
     contentType: request.headers['content-type'] ?? 'application/octet-stream',
     caller: caller.value,
@@ -70,7 +70,7 @@
 }
 
 /** Labels by which rules are found. */
-export function labelsOf(request: ServiceRequest) {
+export function callLabels(request: ServiceRequest) {
   return {
     ...request.headers.labels,
     ...request.caller.labels,
@@ -89,7 +89,10 @@
     .list('backend-server')
     .some((server) => server.object.spec.service === request.service);
   if (!isKnown) return Result.err(fault('unknown_service', request.service));
-  const resolution = resolveTraffic(configuration, { labels: labelsOf(request), promptTokens: 0 });
+  const resolution = resolveTraffic(configuration, {
+    labels: callLabels(request),
+    promptTokens: 0,
+  });
   if (!resolution) return Result.err(fault('no_rule', ''));
   const rule = `${resolution.rule.object.name}@${String(resolution.rule.revision)}`;
   if (resolution.rule.object.spec.action === 'refuse') {
--- a/packages/gateway/src/services/service-directory.ts
+++ b/packages/gateway/src/services/service-directory.ts
@@ -6,7 +6,7 @@
 
 const PROBE_PERIOD_MS = 1000;
 const PROBE_TIMEOUT_MS = 1000;
-const CHOICES = 2;
+const CANDIDATE_COUNT = 2;
 const OK = 200;
 
 /** One replica of a plain service as this host sees it. */
@@ -45,12 +45,12 @@
     }
   }
 
-  setLeaving(names: ReadonlySet<string>): void {
+  setLeavingServers(names: ReadonlySet<string>): void {
     this.#leaving = names;
   }
 
   /** Replicas that say themselves that they are leaving. */
-  leavingByOwnWord(): readonly string[] {
+  selfReportedLeaving(): readonly string[] {
     return [...this.#replicas.values()]
       .filter((replica) => replica.isLeaving)
       .map((replica) => replica.server.object.name);
@@ -60,20 +60,20 @@
   choose(
     service: string,
     members: ReadonlySet<string>,
-    avoid: ReadonlySet<string>,
+    excluded: ReadonlySet<string>,
   ): ServiceReplica | undefined {
     const now = this.clock.monotonicMs();
-    const open = [...this.#replicas.values()].filter(({ server, health, isLeaving }) => {
+    const available = [...this.#replicas.values()].filter(({ server, health, isLeaving }) => {
       const { name, spec } = server.object;
-      const isWanted = spec.service === service && members.has(name) && !avoid.has(name);
-      return isWanted && !isLeaving && !this.#leaving.has(name) && health.isAvailable(now);
+      const isCandidate = spec.service === service && members.has(name) && !excluded.has(name);
+      return isCandidate && !isLeaving && !this.#leaving.has(name) && health.isAvailable(now);
     });
-    const few = pickSome(open, CHOICES, this.random);
-    return [...few].sort((a, b) => a.outstanding - b.outstanding)[0];
+    const sample = pickSome(available, CANDIDATE_COUNT, this.random);
+    return [...sample].sort((a, b) => a.outstanding - b.outstanding)[0];
   }
 
   /** How long until the first replica of a service is back, of those that rest by their own word; undefined where none does. */
-  restLeftMs(service: string, members: ReadonlySet<string>): Milliseconds | undefined {
+  remainingBackoffMs(service: string, members: ReadonlySet<string>): Milliseconds | undefined {
     const now = this.clock.monotonicMs();
     const rests = [...this.#replicas.values()]
       .filter(
--- a/packages/gateway/src/shares/share-keeper.test.ts
+++ b/packages/gateway/src/shares/share-keeper.test.ts
@@ -4,7 +4,7 @@
 import { silentLog } from '@poppypond/telemetry';
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
-import { ShareKeeper } from './share-keeper.js';
+import { ShareManager } from './share-keeper.js';
 
 const HOSTS = 4;
 const BUDGET: AppliedBudget = {
@@ -12,44 +12,44 @@
   budget: { unitsPerSecond: 1000, burstUnits: 20_000 },
 };
 
-function makeFleet(fates: () => CallOutcome = () => 'ok') {
+function createFleet(pickOutcome: () => CallOutcome = () => 'ok') {
   const rows = new MemoryRows();
   const network = new FakeNetwork();
   const clock = new ManualClock();
-  const keepers = Array.from({ length: HOSTS }, (_, index) => {
+  const managers = Array.from({ length: HOSTS }, (_, index) => {
     const owner = { host: `h${String(index)}`, incarnation: 'i' };
     const mesh = network.join(owner.host, owner.incarnation);
-    const table = new MemoryTable(rows, fates);
-    return new ShareKeeper(mesh, table, clock, owner, silentLog, { reclaimAfterMs: 75_000 });
+    const table = new MemoryTable(rows, pickOutcome);
+    return new ShareManager(mesh, table, clock, owner, silentLog, { reclaimAfterMs: 75_000 });
   });
-  const total = () => keepers.reduce((sum, keeper) => sum + keeper.shareOf(BUDGET.id), 0);
-  return { rows, network, clock, keepers, total };
+  const totalShare = () => managers.reduce((sum, manager) => sum + manager.shareOf(BUDGET.id), 0);
+  return { rows, network, clock, managers, totalShare };
 }
 
-type TestFleet = ReturnType<typeof makeFleet>;
+type TestFleet = ReturnType<typeof createFleet>;
 
 /** Prepares and charges; delivers messages while the keeper waits for answers. */
-async function spend(fleet: TestFleet, host: number, units: number): Promise<boolean> {
-  const keeper = fleet.keepers[host];
-  if (!keeper) return false;
-  const preparing = keeper.prepare([BUDGET], units);
+async function prepareAndCharge(fleet: TestFleet, host: number, units: number): Promise<boolean> {
+  const manager = fleet.managers[host];
+  if (!manager) return false;
+  const preparation = manager.prepare([BUDGET], units);
   for (let wait = 0; wait < 4; wait += 1) {
     await fleet.clock.advance(0);
     fleet.network.deliverAll();
     await fleet.clock.advance(45);
   }
-  await preparing;
-  return keeper.budgets.charge([BUDGET], units, fleet.clock.monotonicMs()).isOk;
+  await preparation;
+  return manager.budgets.charge([BUDGET], units, fleet.clock.monotonicMs()).isOk;
 }
 
 describe('ShareKeeper', () => {
   it('lets one host use the whole limit when it gets all the traffic', async () => {
-    const fleet = makeFleet();
-    for (let host = 0; host < HOSTS; host += 1) await spend(fleet, host, 10);
+    const fleet = createFleet();
+    for (let host = 0; host < HOSTS; host += 1) await prepareAndCharge(fleet, host, 10);
     const startMs = fleet.clock.monotonicMs();
     let spent = 0;
     while (fleet.clock.monotonicMs() - startMs < 60_000) {
-      if (await spend(fleet, 3, 500)) spent += 500;
+      if (await prepareAndCharge(fleet, 3, 500)) spent += 500;
       await fleet.clock.advance(100);
     }
     const elapsed = (fleet.clock.monotonicMs() - startMs) / 1000;
@@ -57,18 +57,18 @@
   });
 
   it('gathers the parts that one giant request needs', async () => {
-    const fleet = makeFleet();
-    for (let host = 0; host < HOSTS; host += 1) await spend(fleet, host, 10);
+    const fleet = createFleet();
+    for (let host = 0; host < HOSTS; host += 1) await prepareAndCharge(fleet, host, 10);
     await fleet.clock.advance(20_000);
-    expect(await spend(fleet, 2, 15_000)).toBe(true);
+    expect(await prepareAndCharge(fleet, 2, 15_000)).toBe(true);
   });
 
   it('loses nothing when a part is given on before the table knows of the first gift', async () => {
-    const fleet = makeFleet();
-    for (const host of [0, 1, 2, 3]) await spend(fleet, host, 19_000);
+    const fleet = createFleet();
+    for (const host of [0, 1, 2, 3]) await prepareAndCharge(fleet, host, 19_000);
     await fleet.clock.advance(30_000);
-    expect(fleet.total()).toBeGreaterThan(0.99);
-    expect(await spend(fleet, 3, 19_000)).toBe(true);
+    expect(fleet.totalShare()).toBeGreaterThan(0.99);
+    expect(await prepareAndCharge(fleet, 3, 19_000)).toBe(true);
   });
 
   it('never holds or spends more than the limit, whatever is lost, repeated or down', async () => {
@@ -76,24 +76,24 @@
       kind: fc.constantFrom('spend', 'spend', 'spend', 'drop', 'repeat', 'wait'),
       host: fc.integer({ min: 0, max: HOSTS - 1 }),
       units: fc.integer({ min: 1, max: 20_000 }),
-      byMs: fc.integer({ min: 0, max: 3000 }),
+      elapseMs: fc.integer({ min: 0, max: 3000 }),
     });
-    const fate = fc.constantFrom<CallOutcome>('ok', 'ok', 'ok', 'down', 'lost');
+    const outcome = fc.constantFrom<CallOutcome>('ok', 'ok', 'ok', 'down', 'lost');
     await fc.assert(
       fc.asyncProperty(
         fc.array(step, { maxLength: 40 }),
-        fc.infiniteStream(fate),
-        async (steps, fates) => {
-          const fleet = makeFleet(() => fates.next().value);
+        fc.infiniteStream(outcome),
+        async (steps, outcomes) => {
+          const fleet = createFleet(() => outcomes.next().value);
           const startMs = fleet.clock.monotonicMs();
           let spent = 0;
-          for (const { kind, host, units, byMs } of steps) {
-            if (kind === 'spend' && (await spend(fleet, host, units))) spent += units;
+          for (const { kind, host, units, elapseMs } of steps) {
+            if (kind === 'spend' && (await prepareAndCharge(fleet, host, units))) spent += units;
             if (kind === 'drop') fleet.network.inFlight.shift();
             const [first] = fleet.network.inFlight;
             if (kind === 'repeat' && first) fleet.network.inFlight.push(first);
-            await fleet.clock.advance(byMs);
-            expect(fleet.total()).toBeLessThanOrEqual(1 + 1e-9);
+            await fleet.clock.advance(elapseMs);
+            expect(fleet.totalShare()).toBeLessThanOrEqual(1 + 1e-9);
             const elapsed = (fleet.clock.monotonicMs() - startMs) / 1000;
             const allowed = BUDGET.budget.burstUnits + BUDGET.budget.unitsPerSecond * elapsed;
             expect(spent).toBeLessThanOrEqual(allowed + 1e-6);
--- a/packages/gateway/src/shares/share-messages.ts
+++ b/packages/gateway/src/shares/share-messages.ts
@@ -1,12 +1,12 @@
 import { z } from 'zod';
 
 /** Kinds of messages about shares. */
-export const SHARE_ASK = 'share-ask';
-export const SHARE_GRANT = 'share-grant';
-export const SHARE_TAKEN = 'share-taken';
+export const SHARE_REQUEST_MESSAGE = 'share-ask';
+export const SHARE_GRANT_MESSAGE = 'share-grant';
+export const SHARE_RECEIVED_MESSAGE = 'share-taken';
 
 /** A host asks for a part of a budget. */
-export const shareAskSchema = z.object({
+export const shareRequestSchema = z.object({
   budgetId: z.string(),
   wanted: z.number().positive(),
   share: z.number().nonnegative(),
@@ -23,7 +23,7 @@
 });
 
 /** A part has arrived. */
-export const shareTakenSchema = z.object({ id: z.string() });
+export const shareReceivedSchema = z.object({ id: z.string() });
 
 /** A part on its way from one host to another. */
 export type ShareGrant = z.infer<typeof shareGrantSchema>;
--- a/packages/gateway/src/shares/share-table.ts
+++ b/packages/gateway/src/shares/share-table.ts
@@ -19,20 +19,20 @@
 export type ShareRow = z.infer<typeof rowSchema>;
 
 /** What was taken from the table. */
-export interface TakenShare {
+export interface AcquiredShare {
   readonly share: number;
   readonly units: number;
 }
 
 const MAX_TRIES = 6;
 const RETRY_MS = 20;
-const LEAST_FREE = 0.001;
+const MIN_FREE_SHARE = 0.001;
 const MAX_RECLAIMED = 100;
 
 const EMPTY_ROW: ShareRow = { holders: {}, reclaimed: [], freeUnits: 0 };
 
 /** What nobody holds. Parts below zero count as none, so that it is never too much. */
-function freeOf(row: ShareRow): number {
+function freeShare(row: ShareRow): number {
   return 1 - Object.values(row.holders).reduce((sum, share) => sum + Math.max(0, share), 0);
 }
 
@@ -49,7 +49,7 @@
   }
 
   /** Changes a row until no other host has changed it in between; undefined if it can't be. */
-  async #change(
+  async #update(
     budgetId: string,
     change: (row: ShareRow | undefined) => ShareRow | undefined,
   ): Promise<ShareRow | undefined> {
@@ -61,9 +61,9 @@
       if (!next) return undefined;
       const version = read.value?.version ?? 0;
       const checks = [{ key, version }];
-      const sent = await this.table.transact({ checks, puts: [{ key, value: next }] });
-      if (sent.isOk && sent.value.kind === 'applied') return next;
-      if (sent.isErr && sent.error.reason === 'unavailable') return undefined;
+      const result = await this.table.transact({ checks, puts: [{ key, value: next }] });
+      if (result.isOk && result.value.kind === 'applied') return next;
+      if (result.isErr && result.error.reason === 'unavailable') return undefined;
       await delay(this.clock, RETRY_MS * Math.random());
     }
     return undefined;
@@ -80,17 +80,17 @@
    * Takes all that nobody holds. Where the answer to the write was lost, the next try sees this
    * host among the holders and nothing free, so that nothing is counted twice.
    */
-  async takeFree(budgetId: string, burstUnits: number): Promise<TakenShare | undefined> {
-    let taken: TakenShare | undefined;
-    const written = await this.#change(budgetId, (row) => {
+  async acquireFree(budgetId: string, burstUnits: number): Promise<AcquiredShare | undefined> {
+    let acquired: AcquiredShare | undefined;
+    const written = await this.#update(budgetId, (row) => {
       const current = row ?? { ...EMPTY_ROW, freeUnits: burstUnits };
-      const free = freeOf(current);
-      if (free < LEAST_FREE) return undefined;
-      taken = { share: free, units: Math.max(0, current.freeUnits) };
-      const own = (current.holders[this.#self] ?? 0) + free;
-      return { ...current, holders: { ...current.holders, [this.#self]: own }, freeUnits: 0 };
+      const free = freeShare(current);
+      if (free < MIN_FREE_SHARE) return undefined;
+      acquired = { share: free, units: Math.max(0, current.freeUnits) };
+      const ownShare = (current.holders[this.#self] ?? 0) + free;
+      return { ...current, holders: { ...current.holders, [this.#self]: ownShare }, freeUnits: 0 };
     });
-    return written ? taken : undefined;
+    return written ? acquired : undefined;
   }
 
   /**
@@ -100,16 +100,16 @@
    */
   async recordTransfers(
     budgetId: string,
-    gifts: ReadonlyMap<string, number>,
+    transfers: ReadonlyMap<string, number>,
   ): Promise<number | undefined> {
-    let missing = 0;
-    const written = await this.#change(budgetId, (row) => {
+    let voidShare = 0;
+    const written = await this.#update(budgetId, (row) => {
       const current = row ?? EMPTY_ROW;
       const holders = { ...current.holders };
-      missing = 0;
-      for (const [giver, share] of gifts) {
+      voidShare = 0;
+      for (const [giver, share] of transfers) {
         if (current.reclaimed.includes(giver)) {
-          missing += share;
+          voidShare += share;
           continue;
         }
         holders[giver] = (holders[giver] ?? 0) - share;
@@ -117,12 +117,12 @@
       }
       return { ...current, holders };
     });
-    return written ? missing : undefined;
+    return written ? voidShare : undefined;
   }
 
   /** Makes the part of a holder that is surely gone free. */
   async reclaim(budgetId: string, holder: string): Promise<boolean> {
-    const written = await this.#change(budgetId, (row) => {
+    const written = await this.#update(budgetId, (row) => {
       if (!row || !(holder in row.holders)) return undefined;
       const others = Object.entries(row.holders).filter(([name]) => name !== holder);
       const reclaimed = [...row.reclaimed, holder].slice(-MAX_RECLAIMED);
@@ -132,11 +132,11 @@
   }
 
   /** Gives back what this host holds; what it gave away before stays recorded until it is taken. */
-  async giveBack(budgetId: string, share: number, units: number): Promise<boolean> {
-    const written = await this.#change(budgetId, (row) => {
+  async returnShare(budgetId: string, share: number, units: number): Promise<boolean> {
+    const written = await this.#update(budgetId, (row) => {
       if (!row) return undefined;
-      const own = (row.holders[this.#self] ?? 0) - share;
-      const holders = { ...row.holders, [this.#self]: own };
+      const ownShare = (row.holders[this.#self] ?? 0) - share;
+      const holders = { ...row.holders, [this.#self]: ownShare };
       return { ...row, holders, freeUnits: row.freeUnits + units };
     });
     return written !== undefined;
--- a/packages/gateway/src/status/app.ts
+++ b/packages/gateway/src/status/app.ts
@@ -21,7 +21,7 @@
 function whyNotReady({ context }: StatusSources): string | undefined {
   if (context.lifecycle.state !== 'serving') return context.lifecycle.state;
   if (context.configuration.current.revision === 0) return 'no_configuration';
-  return context.isCutOff() ? 'cut_off' : undefined;
+  return context.isIsolated() ? 'cut_off' : undefined;
 }
 
 function statusOf(sources: StatusSources, longestPauseMs: number) {
@@ -85,8 +85,8 @@
 /** Registers `/healthz`, `/readyz` and `/status`, and sends gauges. */
 export function addStatusRoutes(router: Router, sources: StatusSources): void {
   const { context, mesh } = sources;
-  const loop = monitorEventLoopDelay({ resolution: LOOP_RESOLUTION_MS });
-  loop.enable();
+  const eventLoopDelay = monitorEventLoopDelay({ resolution: LOOP_RESOLUTION_MS });
+  eventLoopDelay.enable();
   router
     .on('GET', '/healthz', ({ response }) => {
       sendJson(response, 200, { state: context.lifecycle.state });
@@ -99,8 +99,8 @@
       });
     })
     .on('GET', '/status', ({ response, query }) => {
-      const longestPauseMs = loop.max / NANOSECONDS_PER_MS;
-      if (query.get('reset') === '1') loop.reset();
+      const longestPauseMs = eventLoopDelay.max / NANOSECONDS_PER_MS;
+      if (query.get('reset') === '1') eventLoopDelay.reset();
       sendJson(response, 200, statusOf(sources, longestPauseMs));
     });
   context.clock.every(METRICS_PERIOD_MS, () => {
@@ -108,7 +108,7 @@
     context.metrics.gauge('requests.waiting_tokens', context.dispatcher.waitingTokens);
     context.metrics.gauge('config.revision', context.configuration.current.revision);
     context.metrics.gauge('peers.connected', mesh.linked().length);
-    context.metrics.timing('loop.pause', loop.max / NANOSECONDS_PER_MS);
+    context.metrics.timing('loop.pause', eventLoopDelay.max / NANOSECONDS_PER_MS);
     sendTotals(sources);
   });
 }
