--- a/packages/gateway/src/engines/dispatcher.test.ts
+++ b/packages/gateway/src/engines/dispatcher.test.ts
@@ -6,7 +6,7 @@
 import type { PlacementRequest } from './dispatcher.js';
 import { FakeDirectory } from './mocks/fake-directory.js';
 
-/** A few seconds, in which word of a leaving server may still be on its way. */
+/** Time after which a host must know that a server is leaving. */
 const MAX_NOTICE_DELAY_MS = 3000;
 
 function buildRequest(signal: AbortSignal): PlacementRequest {
@@ -32,7 +32,7 @@
 }
 
 describe('Dispatcher', () => {
-  it('gives no new work to a server once word of its leaving has come, by whichever way', async () => {
+  it('places no request on a server that has been leaving or silent for longer than 3 s', async () => {
     const step = fc.record({
       kind: fc.constantFrom('place', 'place', 'own-word', 'list', 'silent', 'return', 'wait'),
       engine: fc.integer({ min: 0, max: 2 }),
@@ -80,7 +80,7 @@
     );
   });
 
-  it('takes a waiting request out when its caller goes, and ends the wait in time', async () => {
+  it('removes a waiting request when its caller disconnects and expires one after its maximum wait', async () => {
     const clock = new ManualClock();
     const directory = new FakeDirectory(0, clock);
     const dispatcher = new Dispatcher(
--- a/packages/gateway/src/engines/dispatcher.ts
+++ b/packages/gateway/src/engines/dispatcher.ts
@@ -6,7 +6,7 @@
 import type { EngineSource } from './engine-directory.js';
 import type { PlacedEngine } from '../completions/run-context.js';
 
-/** A request that wants an engine. */
+/** A request for placement on an engine. */
 export interface PlacementRequest {
   readonly job: PlacementJob;
   readonly pools: readonly string[];
@@ -17,15 +17,15 @@
   readonly rule: string;
   readonly maxQueuedTokens: number;
   readonly maxWaitMs: Milliseconds;
-  /** Engines that refused or failed this request before; used only if there is no other. */
+  /** Engines that refused or failed earlier attempts; selected only if no other is available. */
   readonly avoidedEngines: ReadonlySet<string>;
   readonly signal: AbortSignal;
 }
 
-/** Where a request was placed. */
+/** The engine selected for a request, and the figures behind the selection. */
 export interface PlacementOutcome {
   readonly engine: PlacedEngine;
-  /** The number of the dispatch, which the engine's reports name. */
+  /** Sequence number of the dispatch; an engine's load reports name the last one they count. */
   readonly dispatch: number;
   readonly predictedStartMs: Milliseconds;
   readonly cachedTokens: number;
@@ -42,11 +42,11 @@
 
 const MIN_RETRY_AFTER_MS = 250;
 
-/** Places requests, and lets them wait at this host while no engine is free enough. */
+/** Places requests on engines; queues them at this host while no engine has enough capacity. */
 export class Dispatcher {
   readonly #queue = new WaitQueue<WaitingRequest>();
   #cancelTimer: CancelTimer | undefined;
-  /** Engines kept for a prompt that needs several; long work leaves them alone. */
+  /** Engines kept free for a prompt that needs several; no long request is placed on them. */
   #keptFreeForGroup: ReadonlySet<string> = new Set();
 
   constructor(
@@ -64,7 +64,7 @@
     return this.#queue.tokens;
   }
 
-  /** Tokens in the queue that go before a request. */
+  /** Tokens of queued requests that are placed before this one. */
   queuedTokensAhead(request: Pick<PlacementRequest, 'job' | 'pools' | 'model'>): number {
     return this.#queue.tokensAtOrAbove(request.job.priority, queueGroup(request));
   }
@@ -73,7 +73,10 @@
     this.#keptFreeForGroup = engines;
   }
 
-  /** Resolves when an engine was chosen, or at once or later with the reason why not. */
+  /**
+   * Resolves with the selected engine. Resolves with a fault if the queue is full, a request of
+   * higher priority displaces this one, its wait expires, or `signal` is aborted.
+   */
   place(request: PlacementRequest): Promise<Result<PlacementOutcome, Fault>> {
     const { signal } = request;
     if (signal.aborted) return Promise.resolve(Result.err(cancelledFault()));
@@ -121,7 +124,7 @@
     this.processQueue();
   }
 
-  /** Time in which this host's queue should have drained. */
+  /** Expected time until this host's queue has drained. */
   #retryAfterMs(): Milliseconds {
     const engines = this.directory.all();
     const tokensPerMs = engines.reduce(
@@ -131,7 +134,7 @@
     return Math.max(MIN_RETRY_AFTER_MS, this.#queue.tokens / Math.max(1, tokensPerMs));
   }
 
-  /** Starts what can be started, and ends waits that took too long. */
+  /** Expires requests that have waited too long, and places those that an engine can take. */
   processQueue(): void {
     const now = this.clock.monotonicMs();
     for (const waiting of this.#queue.takeExpired(now)) {
--- a/packages/gateway/src/engines/engine-directory.ts
+++ b/packages/gateway/src/engines/engine-directory.ts
@@ -6,34 +6,37 @@
 import { WatchedEngine } from './watched-engine.js';
 import type { WatchSettings } from './watched-engine.js';
 
-/** Settings of the directory. */
+/** Settings of `EngineDirectory`. */
 export interface EngineDirectorySettings extends WatchSettings {
   readonly host: string;
   readonly maxEnginesWatched: number;
   readonly engineReportMaxAgeMs: Milliseconds;
 }
 
-/** An engine that may be given work now. */
+/** An engine that can take new requests, with its estimated state. */
 export interface AvailableEngine {
   readonly engine: PlacedEngine;
   readonly state: EngineState;
 }
 
-/** Where the dispatcher finds engines. */
+/** Engines that the dispatcher selects from. */
 export interface EngineSource {
-  /** Engines of these pools that hold the model and take work, in each pool's order. */
+  /**
+   * Engines of these pools that have the model loaded and can take new requests, in the rendezvous
+   * order of each pool.
+   */
   listAvailable(pools: readonly string[], model: string): readonly AvailableEngine[];
-  /** Every engine that is known. */
+  /** All known engines, whether or not they can take new requests. */
   all(): readonly PlacedEngine[];
 }
 
-/** The engines that this host uses, kept in step with the configuration. */
+/** Engines that this host uses, synchronized with the configuration. */
 export class EngineDirectory implements EngineSource {
   readonly #engines = new Map<string, WatchedEngine>();
   #poolOrder = new Map<string, readonly string[]>();
-  /** Servers that the host list or a peer calls leaving. */
+  /** Servers that the host list or a peer reports as leaving. */
   #leaving: ReadonlySet<string> = new Set();
-  /** Called when an engine may have become able to take work. */
+  /** Called when an engine may have become able to take new requests. */
   onChange: () => void = () => undefined;
 
   constructor(
@@ -42,7 +45,7 @@
     readonly clock: Clock,
   ) {}
 
-  /** Starts watching what is new, stops watching what is gone or has moved. */
+  /** Watches added engines and stops watching removed ones; one with a new URL is watched anew. */
   sync(configuration: Configuration): void {
     const wanted = this.#selectEngines(configuration);
     for (const [name, watched] of this.#engines) {
@@ -96,7 +99,7 @@
     return [...this.#engines.values()];
   }
 
-  /** Engines that say themselves that they are leaving. */
+  /** Names of the engines whose own load reports say that they are leaving. */
   selfReportedLeaving(): readonly string[] {
     return this.all()
       .filter((watched) => watched.load.report?.isLeaving === true)
@@ -118,7 +121,7 @@
     return [...found.values()];
   }
 
-  /** Memory of each engine of a pool that has ever reported, whether it takes work or not. */
+  /** Memory of each engine of a pool that has reported, even if it takes no requests now. */
   reportedMemory(pool: string): readonly number[] {
     const names = this.#poolOrder.get(pool) ?? [];
     return names.flatMap((name) => this.#engines.get(name)?.load.report?.kvTokens ?? []);
--- a/packages/gateway/src/engines/lane-tuner.ts
+++ b/packages/gateway/src/engines/lane-tuner.ts
@@ -4,11 +4,11 @@
 import type { EngineDirectory } from './engine-directory.js';
 
 const TUNE_PERIOD_MS = 1000;
-/** What remains of an observation after a period; half of it is gone after about a minute. */
+/** Decay of observations in each period: half of the weight is gone after about a minute. */
 const HISTOGRAM_DECAY = 0.988;
 const UTILISATION_SMOOTHING = 0.1;
 
-/** Learns request sizes and the engines' use, and sets the lanes from them. */
+/** Observes request sizes and engine utilisation, and derives the lane split from them. */
 export class LaneTuner {
   readonly #sizes = new SizeHistogram();
   #utilisation = 0;
@@ -28,7 +28,7 @@
     return this.#split;
   }
 
-  /** The cut-off for records; `none` while there is one lane. */
+  /** Cut-off in tokens for decision records; `none` while there is a single lane. */
   get cutOffText(): string {
     const { cutOffTokens } = this.#split;
     return Number.isFinite(cutOffTokens) ? cutOffTokens.toFixed(0) : 'none';
--- a/packages/gateway/src/engines/mocks/fake-directory.ts
+++ b/packages/gateway/src/engines/mocks/fake-directory.ts
@@ -5,7 +5,10 @@
 
 const MAX_REPORT_AGE_MS = 3000;
 
-/** How an engine is known to leave. */
+/**
+ * How a host learns that an engine is leaving: from the engine's own load report, from the host
+ * list, or because its load reports stop.
+ */
 export type LeavingSource = 'own-word' | 'list' | 'silent';
 
 interface FakeEngine extends AvailableEngine {
@@ -28,7 +31,7 @@
   };
 }
 
-/** Engines whose reports a test sends; they leave by own word, by the list, or go silent. */
+/** Engines whose load reports are sent by the test. */
 export class FakeDirectory implements EngineSource {
   readonly #engines: FakeEngine[];
 
--- a/packages/gateway/src/engines/reservation-keeper.ts
+++ b/packages/gateway/src/engines/reservation-keeper.ts
@@ -2,14 +2,14 @@
 import { formatOwner } from '@poppypond/core';
 import type { Clock, Owner } from '@poppypond/core';
 
-/** Time that a reservation lives without renewal. */
+/** Time after which a reservation expires if it is not renewed. */
 export const RESERVATION_TTL_MS = 10_000;
 
 const RENEW_PERIOD_MS = RESERVATION_TTL_MS / 4;
 const RELEASE_TRIES = 5;
 const RELEASE_RETRY_MS = 1000;
 
-/** A reservation on an engine. */
+/** A reservation of memory on an engine. */
 export interface EngineReservation {
   readonly engineUrl: string;
   readonly id: string;
@@ -19,7 +19,7 @@
   return `${engineUrl}#${id}`;
 }
 
-/** Renews the reservations of this host, one call for each engine, and releases them. */
+/** Renews this host's reservations, with one call to each engine, and releases them. */
 export class ReservationManager {
   readonly #reservations = new Map<string, EngineReservation>();
 
@@ -32,7 +32,7 @@
     });
   }
 
-  /** Whether this host still uses a reservation; the sweep asks. */
+  /** Whether this host still uses a reservation; queried by the controller's memory sweep. */
   isClaimed(reservation: EngineReservation): boolean {
     return this.#reservations.has(keyOf(reservation));
   }
@@ -41,7 +41,10 @@
     this.#reservations.set(keyOf(reservation), reservation);
   }
 
-  /** Gives reservations back. What can't be reached is tried again, then left to the sweep. */
+  /**
+   * Releases reservations. If an engine does not respond, the release is retried a few times and
+   * then left to the controller's memory sweep.
+   */
   async release(reservations: readonly EngineReservation[]): Promise<void> {
     for (const reservation of reservations) this.#reservations.delete(keyOf(reservation));
     await Promise.all(
--- a/packages/gateway/src/engines/watched-engine.ts
+++ b/packages/gateway/src/engines/watched-engine.ts
@@ -5,15 +5,15 @@
 import { EngineLoad, PrefixIndex, ServerHealth } from '@poppypond/policy';
 import { cacheLineSchema } from './cache-line-schema.js';
 
-/** How an engine is watched. */
+/** Settings of `WatchedEngine`. */
 export interface WatchSettings {
-  /** The prefill rate before it was observed. */
+  /** Prefill rate that is assumed until one is observed. */
   readonly prefillTokensPerMs: number;
-  /** Least time between two load reports. */
+  /** Minimum time between two load reports. */
   readonly engineReportPeriodMs: Milliseconds;
 }
 
-/** One engine as this host sees it: reports, own dispatches, health and cache hints. */
+/** This host's view of an engine: load reports, own dispatches, health and cache hints. */
 export class WatchedEngine {
   readonly load: EngineLoad;
   readonly health = new ServerHealth();
@@ -72,7 +72,7 @@
     return this.server.object.spec.url;
   }
 
-  /** Whether it may be given new work. */
+  /** Whether the engine can take new requests: recently reported, not leaving, and healthy. */
   canTakeWork(maxReportAgeMs: Milliseconds): boolean {
     const now = this.clock.monotonicMs();
     const { report } = this.load;
--- a/packages/gateway/src/explain/app.ts
+++ b/packages/gateway/src/explain/app.ts
@@ -16,12 +16,12 @@
 
 const peerReplySchema = z.object({ decisions: z.array(decisionSchema) });
 
-/** Which decisions somebody may see: all, or those of one workspace. */
+/** Access of a key to decisions: to all, or to those of one workspace. */
 interface DecisionReader {
   canRead(decision: Decision): boolean;
 }
 
-/** Operators see all; callers see their workspace. */
+/** Authenticates by key. Operators read all decisions, callers those of their workspace. */
 function authorizeReader(
   context: GatewayContext,
   route: RouteContext,
@@ -38,7 +38,7 @@
   return Result.ok({ canRead: (decision) => decision.labels['workspace'] === workspace });
 }
 
-/** Asks linked hosts for what they hold in memory; those that don't answer are left out. */
+/** Queries linked hosts for decisions in their memory; hosts that do not respond are skipped. */
 async function queryPeers(
   mesh: PeerMesh,
   path: string,
@@ -122,7 +122,7 @@
   sendDecisions(route, reader.value, mergeDecisions(stored.isOk ? stored.value : local, fromPeers));
 }
 
-/** Registers the paths that answer why something was decided. */
+/** Registers `/explain`, which returns recorded decisions by request or by label selector. */
 export function addExplainRoutes(router: Router, context: GatewayContext, mesh: PeerMesh): void {
   router
     .on('GET', '/explain/:id', (route) => explainRequest(context, mesh, route))
--- a/packages/gateway/src/explain/decision-copies.ts
+++ b/packages/gateway/src/explain/decision-copies.ts
@@ -8,17 +8,23 @@
 const REPLICATION_MESSAGE = 'decision-copies';
 const replicationSchema = z.object({ decisions: z.array(decisionSchema) });
 
-/** Time between copies; a crash of host and store together loses at most this much. */
+/**
+ * Time between replications. If this host and the object store fail together, at most the
+ * decisions of this period are lost.
+ */
 const REPLICATION_PERIOD_MS = 200;
 
-/** The linked peer that gets copies: in another availability zone if there is one. */
+/** Selects the linked peer that keeps replicas, in another availability zone if possible. */
 function chooseReplicaHost(mesh: PeerMesh): Member | undefined {
   const { self } = mesh.settings;
   const ordered = rendezvousOrder(self.host, mesh.linked(), (member) => member.host);
   return ordered.find((member) => member.zone !== self.zone) ?? ordered[0];
 }
 
-/** Copies new decisions to a peer until they are in the object store. */
+/**
+ * Replicates new decisions to a peer, so that they survive a crash of this host before they are in
+ * the object store.
+ */
 export function startDecisionReplication(
   mesh: PeerMesh,
   decisions: DecisionLog,
--- a/packages/gateway/src/explain/decision-recorder.ts
+++ b/packages/gateway/src/explain/decision-recorder.ts
@@ -1,7 +1,7 @@
 import type { Clock, Labels } from '@poppypond/core';
 import type { Decision, DecisionLog } from '@poppypond/state';
 
-/** The parts of a decision that differ from one to the next of a request. */
+/** Fields in which the decisions about one request differ. */
 export interface DecisionDetails {
   readonly kind: Decision['kind'];
   readonly choice: string;
