--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -47,12 +47,15 @@
 import { addClaimRoutes } from './status/claims-app.js';
 import { addStatusRoutes } from './status/app.js';
 
-/** A gateway that serves. */
+/** A started gateway. */
 export interface RunningGateway {
   readonly url: string;
   readonly peerUrl: string;
   readonly context: GatewayContext;
-  /** Leaves the balancer, finishes what is in progress, saves what is unsaved. */
+  /**
+   * Reports not ready to the load balancer, completes the requests in progress, saves outcomes and
+   * decisions, and returns budget shares.
+   */
   stop(): Promise<void>;
 }
 
@@ -88,7 +91,7 @@
   };
 }
 
-/** When the table last answered; the start of this process counts as an answer. */
+/** Time of the table's last response; until the first one, the start of this process. */
 class LastStoreResponse {
   readonly #startedAtMs: Milliseconds;
   source: () => Milliseconds | undefined = () => undefined;
@@ -108,7 +111,6 @@
   readonly metrics: Metrics;
   readonly owner: Owner;
   readonly mesh: PeerMesh;
-  /** When the table last answered. */
   readonly lastStoreResponse: LastStoreResponse;
 }
 
@@ -196,7 +198,7 @@
   context.log.info('stopped');
 }
 
-/** Starts a gateway: it serves as soon as it has a configuration. */
+/** Starts a gateway. It accepts requests as soon as it has a configuration. */
 export async function startGateway(
   settings: GatewaySettings,
   clock: Clock,
--- a/packages/gateway/src/groups/group-run.ts
+++ b/packages/gateway/src/groups/group-run.ts
@@ -15,7 +15,7 @@
 const REPLAN_PERIOD_MS = 50;
 const INITIAL_BACKOFF_MS = 20;
 const MAX_BACKOFF_MS = 640;
-/** After this wait, this host gives no other long work to the engines that groups may use. */
+/** After this wait, this host places no other long request on engines that groups may use. */
 const KEEP_FREE_AFTER_MS = 300;
 
 interface ReservedPart extends EngineReservation {
@@ -27,7 +27,7 @@
 type GroupRun = CompletionRun<GatewayContext>;
 type PartsOutcome = 'finished' | 'again' | Fault;
 
-/** Engines that groups may use: the end of each pool's order, away from the short lane. */
+/** Engines that groups may use: the last of each pool's order, as the first serve short work. */
 function eligibleEngines(run: GroupRun): readonly AvailableEngine[] {
   const { context, request } = run;
   return request.resolution.pools.flatMap(({ object: pool }) => {
@@ -37,16 +37,16 @@
   });
 }
 
-/** Says for the explanation which memory was there and which was needed. */
+/** Describes the needed and the free memory, for the fault and the decision record. */
 function describeMemoryShortage({ request }: GroupRun, states: readonly EngineState[]): string {
   const needed = request.promptTokens + request.body.maxTokens;
   const free = states.map(
     ({ id, kvTokens, heldTokens }) => `${id} ${String(kvTokens - heldTokens)}`,
   );
-  return `${String(needed)} tokens needed, free on engines for groups: ${free.join(', ') || 'none'}`;
+  return `${String(needed)} tokens needed, free tokens on engines for groups: ${free.join(', ') || 'none'}`;
 }
 
-/** Waits until a plan fits the free memory; undefined when the time is up. */
+/** Waits until a plan fits the free memory. Returns undefined if the request is aborted first. */
 async function waitForPlan(run: GroupRun): Promise<readonly GroupPart[] | undefined> {
   const { context, request } = run;
   const startedAtMs = context.clock.monotonicMs();
@@ -65,7 +65,10 @@
   return undefined;
 }
 
-/** The prompt's text for each part; a part never exceeds what is reserved for it. */
+/**
+ * Splits the prompt into one text for each part of the plan, none larger than its reservation.
+ * Returns an empty list if the last text does not fit.
+ */
 function splitPrompt(
   prompt: string,
   plan: readonly GroupPart[],
@@ -85,7 +88,10 @@
   return fits ? texts : [];
 }
 
-/** Reserves every part in order, or none. Never waits while it holds one, so no two deadlock. */
+/**
+ * Reserves memory for all parts in order, or for none. Never waits for memory while it holds a
+ * reservation, so that two groups cannot deadlock.
+ */
 async function tryReserveAll(
   run: GroupRun,
   plan: readonly GroupPart[],
@@ -129,7 +135,10 @@
   return part;
 }
 
-/** Prefills the parts one after another; the last imports the others and generates. */
+/**
+ * Prefills the parts one after another. Each engine imports the KV caches of the parts before its
+ * own; the last one generates the output.
+ */
 async function runParts(run: GroupRun, parts: readonly ReservedPart[]): Promise<PartsOutcome> {
   const { context, request } = run;
   const imports: string[] = [];
@@ -202,8 +211,9 @@
 }
 
 /**
- * A prompt that would not fit even if the pools' engines were empty and all took work is refused
- * at once. Engines that are leaving or silent count: they are expected back, so it may wait.
+ * Returns a fault for a prompt that would not fit even if all engines of its pools were empty and
+ * available. Engines that are leaving or silent count: they are expected to return, and the prompt
+ * may wait for them.
  */
 function checkFits(run: GroupRun): Fault | undefined {
   const { context, request } = run;
@@ -213,14 +223,14 @@
   });
   const most = engineMemory.reduce((sum, tokens) => sum + tokens * (1 - MEMORY_MARGIN), 0);
   if (request.promptTokens + request.body.maxTokens <= most) return undefined;
-  const detail = `${String(engineMemory.length)} engines that groups may use hold ${most.toFixed(0)}`;
+  const detail = `${String(engineMemory.length)} engines that groups may use hold at most ${most.toFixed(0)} tokens`;
   return fault('prompt_too_long', detail, { rule: request.rule, path: 'prompt' });
 }
 
-/** Plans and reserves until it succeeds; undefined when the time is up. */
+/** Plans and reserves until all parts are reserved, or returns undefined if aborted first. */
 async function planAndReserve(run: GroupRun): Promise<readonly ReservedPart[] | undefined> {
   const { context } = run;
-  run.setWaitReason('its turn to reserve memory');
+  run.setWaitReason('other groups on this host are reserving memory');
   const unlock = await context.groupReservationMutex.lock();
   try {
     let backoffMs = INITIAL_BACKOFF_MS;
@@ -256,7 +266,7 @@
     context.dispatcher.processQueue();
     if (end !== 'again') return end;
   }
-  return fault('wait_expired', 'not enough memory was free on the engines', {
+  return fault('wait_expired', 'not enough free memory on the engines', {
     rule: run.request.rule,
   });
 }
--- a/packages/gateway/src/groups/turns.test.ts
+++ b/packages/gateway/src/groups/turns.test.ts
@@ -2,8 +2,8 @@
 import { describe, expect, it } from 'vitest';
 import { Mutex } from './turns.js';
 
-describe('Turns', () => {
-  it('lets one at a time through, in order', async () => {
+describe('Mutex', () => {
+  it('is held by one at a time, in order of arrival', async () => {
     const mutex = new Mutex();
     const order: string[] = [];
     const lockAndRecord = async (name: string) => {
--- a/packages/gateway/src/groups/turns.ts
+++ b/packages/gateway/src/groups/turns.ts
@@ -1,14 +1,14 @@
-/** Ends a turn; calling it again has no effect. */
+/** Releases the lock; further calls have no effect. */
 export type Unlock = () => void;
 
 /**
- * Lets one at a time through, in order of arrival. Groups of one host take turns to reserve
- * memory: without this they took parts from each other and all of them had to back off.
+ * Lock that is granted in order of arrival. Groups of one host hold it while they reserve memory:
+ * concurrent groups take memory from each other, so that all of them have to back off.
  */
 export class Mutex {
   #lastRelease: Promise<void> = Promise.resolve();
 
-  /** Resolves when it is this caller's turn. */
+  /** Resolves when all earlier holders have released the lock. */
   async lock(): Promise<Unlock> {
     const before = this.#lastRelease;
     let end: Unlock = () => undefined;
--- a/packages/gateway/src/hosts/leaving-watch.ts
+++ b/packages/gateway/src/hosts/leaving-watch.ts
@@ -7,14 +7,15 @@
 
 const LEAVING_MESSAGE = 'servers-leaving';
 const POLL_MS = 1000;
-/** What a peer says counts for this long after it was last said. */
+/** Time for which a peer's report of a leaving server counts after it was last received. */
 const PEER_REPORT_TTL_MS = 5000;
 
 const leavingSchema = z.object({ servers: z.array(z.string()) });
 
 /**
- * Joins what is known about backend servers that are leaving: the platform's host list, which
- * lags, the servers' own word, and what peers have heard. Own word is checked by the directories.
+ * Combines the sources that report a backend server as leaving: the platform's host list, which
+ * lags, and the servers' own reports, received directly or through peers. The directories check
+ * the reports that this host receives directly.
  */
 export class LeavingServersMonitor {
   #listed: ReadonlySet<string> = new Set();
@@ -46,7 +47,7 @@
     this.#updateDirectories();
   }
 
-  /** Passes on what this host heard from servers themselves; repeated while it is so. */
+  /** Broadcasts the servers that report to this host that they are leaving, as long as they do. */
   #broadcastSelfReported(): void {
     const selfReported = [
       ...this.engines.selfReportedLeaving(),
--- a/packages/gateway/src/lifecycle/lifecycle.test.ts
+++ b/packages/gateway/src/lifecycle/lifecycle.test.ts
@@ -6,7 +6,7 @@
 const DRAIN_DELAY_MS = 300;
 
 describe('Lifecycle', () => {
-  it('leaves the balancer first and stops only when every request has ended', async () => {
+  it('accepts requests during the drain delay and stops only when every request has ended', async () => {
     const step = fc.record({
       kind: fc.constantFrom('begin', 'end', 'drain', 'wait'),
       elapseMs: fc.integer({ min: 0, max: 200 }),
--- a/packages/gateway/src/lifecycle/lifecycle.ts
+++ b/packages/gateway/src/lifecycle/lifecycle.ts
@@ -1,9 +1,12 @@
 import type { Clock, Milliseconds } from '@poppypond/core';
 
-/** `draining`: still serves, but says that it isn't ready, so that the balancer leaves it. */
+/**
+ * `draining`: still accepts requests but reports not ready, so that the load balancer removes this
+ * host. `closed_to_new`: accepts no new requests.
+ */
 export type LifecycleState = 'starting' | 'serving' | 'draining' | 'closed_to_new' | 'stopped';
 
-/** Where this process is between start and stop, and what it still has to finish. */
+/** State of this process between start and stop, with the number of requests in progress. */
 export class Lifecycle {
   #state: LifecycleState = 'starting';
   #inProgress = 0;
@@ -31,7 +34,7 @@
     if (this.#state === 'starting') this.#state = 'serving';
   }
 
-  /** Counts a request; call the result once when it has ended. */
+  /** Counts a request as in progress until the returned function is first called. */
   begin(): () => void {
     this.#inProgress += 1;
     let isEnded = false;
@@ -43,7 +46,10 @@
     };
   }
 
-  /** Leaves the balancer, then takes nothing new, then resolves when all requests have ended. */
+  /**
+   * Reports not ready to the load balancer for `drainDelayMs`, then accepts no new requests, and
+   * resolves when all requests have ended.
+   */
   async drain(drainDelayMs: Milliseconds): Promise<void> {
     this.#state = 'draining';
     await new Promise<void>((resolve) => {
--- a/packages/gateway/src/quarantine/host-quarantine.test.ts
+++ b/packages/gateway/src/quarantine/host-quarantine.test.ts
@@ -14,7 +14,10 @@
   return { clock, quarantine: new HostQuarantine(parts) };
 }
 
-/** One try: attempts until something keeps it from another; how many servers were given it. */
+/**
+ * Runs a request whose attempts are all cut, until it is quarantined or reaches `MAX_ATTEMPTS`.
+ * Returns the number of servers that received it.
+ */
 async function runRequest(quarantine: HostQuarantine, content = CONTENT): Promise<number> {
   const request = quarantine.track(content);
   for (let attempts = 0; attempts < MAX_ATTEMPTS; attempts += 1) {
@@ -26,7 +29,7 @@
 }
 
 describe('HostQuarantine', () => {
-  it('gives a request that ends servers to three of them, over all its tries, and others to as many as before', async () => {
+  it('quarantines a request after it has terminated three servers over all its tries, and no other request', async () => {
     const { clock, quarantine } = createQuarantine(() => 'refused');
     expect(await runRequest(quarantine)).toBe(3);
     for (let tries = 0; tries < 20; tries += 1) expect(await runRequest(quarantine)).toBe(0);
@@ -38,7 +41,7 @@
     expect(await runRequest(quarantine)).toBe(1);
   });
 
-  it('counts no broken answer of a server that lives, and frees a request that is served', async () => {
+  it('ignores cut responses of a server that is still running, and releases a request that is served', async () => {
     let state: ProbeResult = 'listening';
     const { quarantine } = createQuarantine(() => state);
     expect(await runRequest(quarantine)).toBe(MAX_ATTEMPTS);
--- a/packages/gateway/src/quarantine/host-quarantine.ts
+++ b/packages/gateway/src/quarantine/host-quarantine.ts
@@ -12,13 +12,13 @@
 import { probeServer } from '@poppypond/web';
 import type { ServerEndpoint, ProbeResult } from '@poppypond/web';
 
-/** What it needs. */
+/** Dependencies of `HostQuarantine`. */
 export interface HostQuarantineParts {
   readonly clock: Clock;
   readonly log: Log;
   readonly metrics: Metrics;
   readonly host: string;
-  /** Whether a server whose answer broke off is there; a test answers for it. */
+  /** Checks whether a server whose response was cut is still running; replaced in tests. */
   readonly ask?: (server: ServerEndpoint) => Promise<ProbeResult>;
 }
 
@@ -29,16 +29,17 @@
 }
 
 /**
- * Requests under which backend servers ended, as this host has seen it. Without it a prompt that ends each engine
- * that runs it is given to one engine after another for as long as the retry budget lasts, and again
- * whenever its caller comes back. Other hosts find out by themselves.
+ * Quarantine of requests that terminate backend servers, as observed by this host. Without it a
+ * prompt that terminates each engine that runs it is sent to one engine after another for as long
+ * as the retry budget lasts, and again whenever its caller retries. Other hosts observe
+ * terminations by themselves; nothing is exchanged.
  */
 export class HostQuarantine implements QuarantineRegistry {
   readonly #quarantine = new Quarantine();
 
   constructor(readonly parts: HostQuarantineParts) {}
 
-  /** Follows one request. */
+  /** Tracks one request over its attempts. */
   track(request: RequestContent): TerminationDetector {
     return new TerminationDetector(this, new FollowedRequest(this, request));
   }
@@ -78,7 +79,7 @@
   }
 }
 
-/** Finds out which servers ended under one request, whose attempts run one after the other. */
+/** Detects servers that terminate while running one request; its attempts run in sequence. */
 export class TerminationDetector {
   #attemptCount = 0;
 
@@ -87,27 +88,27 @@
     readonly followed: FollowedRequest,
   ) {}
 
-  /** Why it is not run now; undefined where it may be. */
+  /** Returns a `quarantined` fault if the request must not run now, otherwise undefined. */
   checkHold(): Fault | undefined {
     const held = this.followed.checkHold();
     if (!held) return undefined;
     const servers = held.entry.lastTerminations.map(({ server }) => server).join(', ');
-    const detail = `servers ended under it: ${servers}`;
+    const detail = `servers terminated while running the request: ${servers}`;
     return fault('quarantined', detail, { retryAfterMs: held.forMs });
   }
 
-  /** It is given to a server. */
+  /** An attempt is sent to a server. */
   begin(): void {
     this.#attemptCount += 1;
     this.followed.begin(this.#attemptId);
   }
 
-  /** It was served. */
+  /** The request was served. */
   onServed(): void {
     this.followed.onServed();
   }
 
-  /** An answer broke off; resolves when it is known whether its server has ended. */
+  /** A response was cut. Resolves once it is known whether the server has terminated. */
   async onResponseCut(server: string, url: string): Promise<void> {
     const { clock, ask } = this.quarantine.parts;
     const place = endpointOf(url);
--- a/packages/gateway/src/random.ts
+++ b/packages/gateway/src/random.ts
@@ -3,7 +3,7 @@
 
 const RANGE = 2 ** 32;
 
-/** A random source with a seed; without one the seed is random. */
+/** Creates a seeded random source; without `seed` the seed is random. */
 export function createRandom(seed = Math.floor(Math.random() * RANGE)): RandomSource {
   const generator = xoroshiro128plus(seed);
   return { next: () => (generator.next() >>> 0) / RANGE };
