--- a/packages/gateway/src/services/app.ts
+++ b/packages/gateway/src/services/app.ts
@@ -52,7 +52,7 @@
   answer(context, route.response, recorder, result);
 }
 
-/** Registers the paths of plain services. */
+/** Registers `/services/:name/*`, which forwards calls to plain services. */
 export function addServiceRoutes(router: Router, context: GatewayContext): void {
   const onCall = async (route: RouteContext): Promise<void> => {
     const onEnd = context.lifecycle.begin();
--- a/packages/gateway/src/services/dispatch-call.ts
+++ b/packages/gateway/src/services/dispatch-call.ts
@@ -11,17 +11,17 @@
 import type { ResolvedCall } from './resolve-call.js';
 import type { ServiceReplica } from './service-directory.js';
 
-/** A whole answer of a replica. */
+/** Complete response of a replica. */
 export type ServiceResponse = Extract<ServiceEnd, { readonly kind: 'answered' }>;
 
 const RETRY_AFTER_MS: Milliseconds = 1000;
 
-/** A call that an attempt may have run is not told to be not run. */
+/** Fault for a quarantined call: of unknown outcome if an earlier attempt may have run it. */
 function holdFault(held: Fault, hasRun: boolean): Fault {
   return hasRun ? fault('outcome_unknown', held.detail) : held;
 }
 
-/** Takes in what the end of a call tells of its replica, and what the replica says of itself. */
+/** Updates a replica's health from the end of a call and the backoff that it may request. */
 function updateHealth(
   { health }: ServiceReplica,
   end: ServiceEnd,
@@ -36,7 +36,10 @@
   else health.onFailure(nowMs);
 }
 
-/** Calls replicas until one answers; only what was not run is tried again, or what is safe. */
+/**
+ * Calls replicas until one responds. A call is retried only if it was not run or if its method is
+ * safe to repeat.
+ */
 export async function dispatch(
   context: GatewayContext,
   call: ResolvedCall,
@@ -56,7 +59,7 @@
     if (held) return Result.err(holdFault(held, hasRun));
     const replica = context.services.choose(call.service, call.members, triedReplicas);
     if (!replica) {
-      const detail = triedReplicas.size > 0 ? 'every replica refused' : '';
+      const detail = triedReplicas.size > 0 ? 'every available replica was tried' : '';
       const backoffMs = context.services.remainingBackoffMs(call.service, call.members);
       const retryAfterMs = Math.max(RETRY_AFTER_MS, backoffMs ?? 0);
       return Result.err(fault('no_backend', detail, { rule: call.rule, retryAfterMs }));
@@ -102,7 +105,10 @@
   return hash.update(call.bytes).digest('hex');
 }
 
-/** Records the outcome of a claimed call; an unknown one stays claimed and is never run again. */
+/**
+ * Records the outcome of a claimed call. A call of unknown outcome stays claimed and is never run
+ * again.
+ */
 function recordOutcome(
   context: GatewayContext,
   claim: Claim,
@@ -116,7 +122,10 @@
   }
 }
 
-/** Calls a replica at most once for the caller's key; the answer of an earlier call is given again. */
+/**
+ * Runs a call at most once for its idempotency key. Returns the recorded response if an earlier
+ * call with the key has run.
+ */
 export async function callAtMostOnce(
   context: GatewayContext,
   call: ResolvedCall,
@@ -129,7 +138,7 @@
     recorder.record({ kind: 'admit', choice: 'ran_before' });
     return Result.ok({ kind: 'answered', ...claimed.value.answer });
   }
-  // Goes on without its caller, so that its outcome is known.
+  // Continues after the caller disconnects, so that the outcome is known.
   const { signal } = new AbortController();
   const result = await dispatch(context, call, recorder, signal);
   recordOutcome(context, claimed.value.claim, result);
--- a/packages/gateway/src/services/resolve-call.ts
+++ b/packages/gateway/src/services/resolve-call.ts
@@ -11,7 +11,7 @@
 import type { CallerHeaders } from '../callers/caller-headers.js';
 import type { GatewayContext } from '../context.js';
 
-/** A checked call to a plain service. */
+/** A parsed and authenticated call to a plain service. */
 export interface ServiceRequest {
   readonly id: string;
   readonly service: string;
@@ -24,7 +24,7 @@
   readonly arrivedAtMs: Milliseconds;
 }
 
-/** A call, and the rule that it goes by. */
+/** A call with the rule that applies to it and what follows from the rule. */
 export interface ResolvedCall extends ServiceRequest {
   readonly resolution: Resolution;
   readonly rule: string;
@@ -33,7 +33,7 @@
   readonly members: ReadonlySet<string>;
 }
 
-/** Methods whose calls may be made twice. */
+/** Methods whose calls are safe to repeat. */
 export const SAFE_METHODS: ReadonlySet<string> = new Set(['GET', 'HEAD']);
 const DEFAULT_TIME_LIMIT_MS: Milliseconds = 30_000;
 const STOPPING_RETRY_AFTER_MS: Milliseconds = 1000;
@@ -69,7 +69,7 @@
   }));
 }
 
-/** Labels by which rules are found. */
+/** Labels that rule selectors match. */
 export function callLabels(request: ServiceRequest) {
   return {
     ...request.headers.labels,
@@ -79,7 +79,7 @@
   };
 }
 
-/** Finds the rule of a call, or why it is refused. */
+/** Finds the rule that applies to a call, or returns the fault that refuses it. */
 export function resolveCall(
   context: GatewayContext,
   request: ServiceRequest,
--- a/packages/gateway/src/services/service-directory.ts
+++ b/packages/gateway/src/services/service-directory.ts
@@ -9,7 +9,7 @@
 const CANDIDATE_COUNT = 2;
 const OK = 200;
 
-/** One replica of a plain service as this host sees it. */
+/** This host's view of one replica of a plain service. */
 export interface ServiceReplica {
   readonly server: Versioned<'backend-server'>;
   readonly health: ServerHealth;
@@ -17,7 +17,7 @@
   isLeaving: boolean;
 }
 
-/** The replicas of plain services, kept in step with the configuration. */
+/** Replicas of plain services, synchronized with the configuration. */
 export class ServiceDirectory {
   readonly #replicas = new Map<string, ServiceReplica>();
   #leaving: ReadonlySet<string> = new Set();
@@ -49,14 +49,14 @@
     this.#leaving = names;
   }
 
-  /** Replicas that say themselves that they are leaving. */
+  /** Names of the replicas that report themselves that they are leaving. */
   selfReportedLeaving(): readonly string[] {
     return [...this.#replicas.values()]
       .filter((replica) => replica.isLeaving)
       .map((replica) => replica.server.object.name);
   }
 
-  /** The less busy of two replicas of a service in these pools that take work. */
+  /** Selects the less busy of two random replicas among `members` that can take calls. */
   choose(
     service: string,
     members: ReadonlySet<string>,
@@ -72,7 +72,10 @@
     return [...sample].sort((a, b) => a.outstanding - b.outstanding)[0];
   }
 
-  /** How long until the first replica of a service is back, of those that rest by their own word; undefined where none does. */
+  /**
+   * Returns the time until the first of a service's replicas ends the backoff that it requested, or
+   * undefined if none is in backoff.
+   */
   remainingBackoffMs(service: string, members: ReadonlySet<string>): Milliseconds | undefined {
     const now = this.clock.monotonicMs();
     const rests = [...this.#replicas.values()]
@@ -84,7 +87,7 @@
     return rests.length > 0 ? Math.min(...rests) : undefined;
   }
 
-  /** Asks a replica for its own word on whether it is leaving. */
+  /** Queries a replica's `/healthz`, which reports whether it is leaving. */
   async #probe(replica: ServiceReplica): Promise<void> {
     const url = new URL('/healthz', replica.server.object.spec.url).toString();
     const timeoutMs: Milliseconds = PROBE_TIMEOUT_MS;
--- a/packages/gateway/src/shares/share-keeper.test.ts
+++ b/packages/gateway/src/shares/share-keeper.test.ts
@@ -28,7 +28,7 @@
 
 type TestFleet = ReturnType<typeof createFleet>;
 
-/** Prepares and charges; delivers messages while the keeper waits for answers. */
+/** Prepares and charges, and delivers messages while the manager waits for grants. */
 async function prepareAndCharge(fleet: TestFleet, host: number, units: number): Promise<boolean> {
   const manager = fleet.managers[host];
   if (!manager) return false;
@@ -42,7 +42,7 @@
   return manager.budgets.charge([BUDGET], units, fleet.clock.monotonicMs()).isOk;
 }
 
-describe('ShareKeeper', () => {
+describe('ShareManager', () => {
   it('lets one host use the whole limit when it gets all the traffic', async () => {
     const fleet = createFleet();
     for (let host = 0; host < HOSTS; host += 1) await prepareAndCharge(fleet, host, 10);
@@ -56,14 +56,14 @@
     expect(spent).toBeGreaterThan(0.9 * (BUDGET.budget.unitsPerSecond * elapsed));
   });
 
-  it('gathers the parts that one giant request needs', async () => {
+  it('collects the shares that one large request needs', async () => {
     const fleet = createFleet();
     for (let host = 0; host < HOSTS; host += 1) await prepareAndCharge(fleet, host, 10);
     await fleet.clock.advance(20_000);
     expect(await prepareAndCharge(fleet, 2, 15_000)).toBe(true);
   });
 
-  it('loses nothing when a part is given on before the table knows of the first gift', async () => {
+  it('loses nothing when a share is transferred again before its first transfer is recorded', async () => {
     const fleet = createFleet();
     for (const host of [0, 1, 2, 3]) await prepareAndCharge(fleet, host, 19_000);
     await fleet.clock.advance(30_000);
@@ -71,7 +71,7 @@
     expect(await prepareAndCharge(fleet, 3, 19_000)).toBe(true);
   });
 
-  it('never holds or spends more than the limit, whatever is lost, repeated or down', async () => {
+  it('never holds or spends more than the limit despite lost or repeated messages and table failures', async () => {
     const step = fc.record({
       kind: fc.constantFrom('spend', 'spend', 'spend', 'drop', 'repeat', 'wait'),
       host: fc.integer({ min: 0, max: HOSTS - 1 }),
--- a/packages/gateway/src/shares/share-keeper.ts
+++ b/packages/gateway/src/shares/share-keeper.ts
@@ -17,9 +17,9 @@
 import type { ShareGrant } from './share-messages.js';
 import { ShareTable } from './share-table.js';
 
-/** Times that decide about shares. */
+/** Time limits of `ShareManager`. */
 export interface ShareTimes {
-  /** A holder that is gone for this long loses its part. */
+  /** Absence after which a holder's share is reclaimed. */
   readonly reclaimAfterMs: Milliseconds;
 }
 
@@ -27,7 +27,7 @@
   readonly applied: AppliedBudget;
   readonly demand: DemandRate;
   share: number;
-  /** No peer had anything to give; not asked again before this time. */
+  /** Peers are not asked before this time, as they last had too little to transfer. */
   noRequestsUntilMs: Milliseconds;
 }
 
@@ -42,15 +42,18 @@
 const REQUEST_COOLDOWN_MS = 300;
 const RESEND_MS = 500;
 const RECLAIM_PERIOD_MS = 5000;
-/** A run that was replaced: long enough for what it gave away to be recorded. */
+/**
+ * Reclaim delay for an incarnation that another one has replaced: long enough for its transfers to
+ * be recorded.
+ */
 const REPLACED_RECLAIM_AFTER_MS = 10_000;
 const RECORD_PERIOD_MS = 2000;
 const MAX_RECEIVED_GRANT_IDS = 10_000;
 const MS_PER_SECOND = 1000;
 
 /**
- * This host's parts of token budgets. The parts of all hosts never sum to more than the whole:
- * a giver takes a part off its own before the taker adds it, so that a lost message loses
+ * This host's shares of token budgets. The shares of all hosts never sum to more than 1: a host
+ * subtracts a share that it transfers before the receiver adds it, so that a lost message loses
  * capacity and never breaks the limit.
  */
 export class ShareManager {
@@ -62,7 +65,7 @@
   readonly #receivedGrantIds = new Set<string>();
   readonly #pendingAcquisitions = new Map<string, Promise<void>>();
   readonly #pendingRequests = new Map<string, Promise<void>>();
-  /** Budget to giver to the part that the table doesn't know of yet. */
+  /** Received shares that the table has not recorded yet, by budget and by giver. */
   readonly #unrecordedTransfers = new Map<string, Map<string, number>>();
   readonly #absentSinceMs = new Map<string, Milliseconds>();
 
@@ -94,12 +97,15 @@
     clock.every(RECLAIM_PERIOD_MS, () => void this.#reclaim());
   }
 
-  /** This host's part of a budget. */
+  /** This host's share of a budget, from 0 to 1. */
   shareOf(budgetId: string): number {
     return this.#held.get(budgetId)?.share ?? 0;
   }
 
-  /** Notes demand, and gets hold of enough of each budget for these units if others have it. */
+  /**
+   * Records demand for these units, and requests shares of a budget from peers if this host has too
+   * few units of it.
+   */
   async prepare(budgets: readonly AppliedBudget[], units: number): Promise<void> {
     for (const applied of budgets) {
       const held = await this.#getOrCreateEntry(applied);
@@ -111,7 +117,7 @@
     }
   }
 
-  /** The entry of a budget; what nobody holds is taken on its first use. */
+  /** Returns the entry of a budget. Its first use acquires the share that no host holds. */
   async #getOrCreateEntry(applied: AppliedBudget): Promise<HeldShare> {
     const { id } = applied;
     let held = this.#held.get(id);
@@ -161,7 +167,7 @@
     return pendingRequest;
   }
 
-  /** Asks peers a few times, as long as they give. */
+  /** Requests shares from peers, for a few rounds as long as each round brings some. */
   async #requestFromPeers(held: HeldShare, units: number): Promise<void> {
     const { applied } = held;
     if (this.clock.monotonicMs() < held.noRequestsUntilMs) return;
@@ -216,7 +222,7 @@
     this.#unrecordedTransfers.set(budgetId, transfers);
   }
 
-  /** Records what was given to this host, one write for each budget. */
+  /** Records the shares transferred to this host, with one write for each budget. */
   async #recordTransfers(): Promise<void> {
     for (const [budgetId, transfers] of this.#unrecordedTransfers) {
       this.#unrecordedTransfers.delete(budgetId);
@@ -239,7 +245,7 @@
     this.budgets.onShareChanged(held.applied, this.clock.monotonicMs());
   }
 
-  /** Frees the parts of holders that are surely gone; one host looks after each budget. */
+  /** Frees the shares of holders that are certainly gone. One host does so for each budget. */
   async #reclaim(): Promise<void> {
     const members = this.mesh.members().map(({ member }) => member);
     const hosts = [...members.map((member) => member.host), this.mesh.settings.self.host];
@@ -256,7 +262,10 @@
     }
   }
 
-  /** Gone: its host runs another incarnation, or no peer has heard of it for long enough. */
+  /**
+   * Whether a holder is certainly gone: for long enough its host has run another incarnation or has
+   * not been a known member.
+   */
   #isGone(holder: string, members: readonly Member[]): boolean {
     const owner = parseOwner(holder);
     if (!owner || holder === this.#self) return false;
@@ -271,7 +280,7 @@
     return now - since > (member ? REPLACED_RECLAIM_AFTER_MS : this.times.reclaimAfterMs);
   }
 
-  /** Gives every part back, for a planned stop. */
+  /** Returns all shares to the table, for a planned stop. */
   async returnAll(): Promise<void> {
     await this.#recordTransfers();
     const now = this.clock.monotonicMs();
@@ -281,13 +290,13 @@
     }
   }
 
-  /** The parts held, for status. */
+  /** This host's share of each budget, for `/status`. */
   list(): Readonly<Record<string, number>> {
     return Object.fromEntries([...this.#held].map(([id, held]) => [id, held.share]));
   }
 }
 
-/** Time after which a host that is cut off from table and peers has surely stopped spending. */
+/** Time after which a host without table and peers has certainly stopped spending. */
 export function reclaimDelayMs(notReadyAfterMs: Milliseconds): Milliseconds {
   return notReadyAfterMs + RECLAIM_MARGIN_MS;
 }
--- a/packages/gateway/src/shares/share-messages.ts
+++ b/packages/gateway/src/shares/share-messages.ts
@@ -1,11 +1,11 @@
 import { z } from 'zod';
 
-/** Kinds of messages about shares. */
+/** Kinds of messages about budget shares. */
 export const SHARE_REQUEST_MESSAGE = 'share-ask';
 export const SHARE_GRANT_MESSAGE = 'share-grant';
 export const SHARE_RECEIVED_MESSAGE = 'share-taken';
 
-/** A host asks for a part of a budget. */
+/** A host requests a share of a budget, and reports its own share and demand. */
 export const shareRequestSchema = z.object({
   budgetId: z.string(),
   wanted: z.number().positive(),
@@ -13,7 +13,7 @@
   demand: z.number().nonnegative(),
 });
 
-/** A host has given a part away; sent again until it is confirmed. */
+/** A host transfers a share; sent again until it is confirmed. */
 export const shareGrantSchema = z.object({
   id: z.string(),
   budgetId: z.string(),
@@ -22,8 +22,8 @@
   units: z.number().nonnegative(),
 });
 
-/** A part has arrived. */
+/** Confirms that a transfer has arrived. */
 export const shareReceivedSchema = z.object({ id: z.string() });
 
-/** A part on its way from one host to another. */
+/** A transfer of a share from one host to another. */
 export type ShareGrant = z.infer<typeof shareGrantSchema>;
--- a/packages/gateway/src/shares/share-table.ts
+++ b/packages/gateway/src/shares/share-table.ts
@@ -5,20 +5,20 @@
 
 const rowSchema = z.object({
   /**
-   * Owner to its part of the limit. Below zero where a host has given on what it was given
-   * and the first transfer isn't recorded yet.
+   * Share of the limit by owner. Below zero if a host has transferred a share that it received by
+   * a transfer that is not recorded yet.
    */
   holders: z.record(z.string(), z.number()),
-  /** Owners whose part was reclaimed, newest last; what they gave away before is void. */
+  /** Owners whose share was reclaimed, newest last; their unrecorded transfers are void. */
   reclaimed: z.array(z.string()),
-  /** Units that were given back with parts that nobody holds. */
+  /** Units that were returned together with shares that no host holds. */
   freeUnits: z.number(),
 });
 
-/** A budget's row. */
+/** Row of a budget in the table. */
 export type ShareRow = z.infer<typeof rowSchema>;
 
-/** What was taken from the table. */
+/** A share acquired from the table, with its unspent units. */
 export interface AcquiredShare {
   readonly share: number;
   readonly units: number;
@@ -31,12 +31,12 @@
 
 const EMPTY_ROW: ShareRow = { holders: {}, reclaimed: [], freeUnits: 0 };
 
-/** What nobody holds. Parts below zero count as none, so that it is never too much. */
+/** Share that no host holds. Shares below zero count as zero, so that it is never too large. */
 function freeShare(row: ShareRow): number {
   return 1 - Object.values(row.holders).reduce((sum, share) => sum + Math.max(0, share), 0);
 }
 
-/** The record of who holds which part of a budget, in the platform's table. */
+/** Records in the platform's table which host holds which share of a budget. */
 export class ShareTable {
   readonly #self: string;
 
@@ -48,7 +48,10 @@
     this.#self = formatOwner(owner);
   }
 
-  /** Changes a row until no other host has changed it in between; undefined if it can't be. */
+  /**
+   * Updates a row by compare-and-set, and tries again after a conflict. Returns undefined if
+   * `update` returns no row, or if it is not confirmed that the row was written.
+   */
   async #update(
     budgetId: string,
     change: (row: ShareRow | undefined) => ShareRow | undefined,
@@ -69,7 +72,7 @@
     return undefined;
   }
 
-  /** Who holds the budget; undefined where the table does not answer. */
+  /** Reads a budget's row. Returns undefined if there is none or the table does not respond. */
   async read(budgetId: string): Promise<ShareRow | undefined> {
     const read = await this.table.get(`share/${budgetId}`);
     if (read.isErr || !read.value) return undefined;
@@ -77,8 +80,8 @@
   }
 
   /**
-   * Takes all that nobody holds. Where the answer to the write was lost, the next try sees this
-   * host among the holders and nothing free, so that nothing is counted twice.
+   * Acquires the whole share that no host holds. If the response to the write is lost, the retry
+   * finds this host among the holders and nothing free, so that nothing is counted twice.
    */
   async acquireFree(budgetId: string, burstUnits: number): Promise<AcquiredShare | undefined> {
     let acquired: AcquiredShare | undefined;
@@ -94,9 +97,9 @@
   }
 
   /**
-   * Records transfers to this host. What a giver no longer holds, because its part was reclaimed
-   * before this was recorded, is returned: this host must give it up. Undefined while the table
-   * doesn't answer.
+   * Records transfers to this host. Returns the share that this host must give up, as the share of
+   * its giver was reclaimed before the transfer was recorded. Returns undefined if the table does
+   * not respond.
    */
   async recordTransfers(
     budgetId: string,
@@ -120,7 +123,7 @@
     return written ? voidShare : undefined;
   }
 
-  /** Makes the part of a holder that is surely gone free. */
+  /** Frees the share of a holder that is certainly gone. */
   async reclaim(budgetId: string, holder: string): Promise<boolean> {
     const written = await this.#update(budgetId, (row) => {
       if (!row || !(holder in row.holders)) return undefined;
@@ -131,7 +134,10 @@
     return written !== undefined;
   }
 
-  /** Gives back what this host holds; what it gave away before stays recorded until it is taken. */
+  /**
+   * Returns this host's share. A share that this host has transferred stays recorded under its name
+   * until the receiver records the transfer.
+   */
   async returnShare(budgetId: string, share: number, units: number): Promise<boolean> {
     const written = await this.#update(budgetId, (row) => {
       if (!row) return undefined;
--- a/packages/gateway/src/status/app.ts
+++ b/packages/gateway/src/status/app.ts
@@ -6,18 +6,18 @@
 import type { GatewayContext } from '../context.js';
 
 const NANOSECONDS_PER_MS = 1e6;
-/** A finer one wakes the loop 200 times a second, which cost an idle host 4% of a core. */
+/** A resolution of 5 ms wakes the event loop 200 times a second: 4% of a core on an idle host. */
 const LOOP_RESOLUTION_MS = 50;
 const METRICS_PERIOD_MS = 1000;
 
-/** What the status paths look at. */
+/** Dependencies of the status routes. */
 export interface StatusSources {
   readonly context: GatewayContext;
   readonly mesh: PeerMesh;
   readonly connection: PlatformConnection;
 }
 
-/** Why this host is not ready; undefined when it is. */
+/** Returns why this host is not ready, or undefined if it is ready. */
 function whyNotReady({ context }: StatusSources): string | undefined {
   if (context.lifecycle.state !== 'serving') return context.lifecycle.state;
   if (context.configuration.current.revision === 0) return 'no_configuration';
@@ -73,7 +73,7 @@
   };
 }
 
-/** Totals since the start; StatsD's back end takes their rate. */
+/** Sends totals since the start, from which the StatsD backend derives rates. */
 function sendTotals({ context, connection }: StatusSources): void {
   context.metrics.gauge('store.reads', connection.calls.reads);
   context.metrics.gauge('store.writes', connection.calls.writes);
@@ -82,7 +82,7 @@
   context.metrics.gauge('decisions.lost', context.decisions.lost);
 }
 
-/** Registers `/healthz`, `/readyz` and `/status`, and sends gauges. */
+/** Registers `/healthz`, `/readyz` and `/status`, and sends gauges periodically. */
 export function addStatusRoutes(router: Router, sources: StatusSources): void {
   const { context, mesh } = sources;
   const eventLoopDelay = monitorEventLoopDelay({ resolution: LOOP_RESOLUTION_MS });
--- a/packages/gateway/src/status/claims-app.ts
+++ b/packages/gateway/src/status/claims-app.ts
@@ -4,8 +4,9 @@
 import type { GatewayContext } from '../context.js';
 
 /**
- * Registers the path by which the sweep asks whether this host still uses a reservation.
- * A host of another incarnation answers with its own, which shows that the asked one is gone.
+ * Registers `/claims`, where the controller's memory sweep asks whether this host still uses a
+ * reservation. The response names this host's incarnation: a different one than that of the
+ * reservation shows that the owner is gone.
  */
 export function addClaimRoutes(router: Router, context: GatewayContext): void {
   router.on('GET', '/claims', ({ response, query }) => {
