--- a/packages/gateway/src/engines/dispatcher.test.ts
+++ b/packages/gateway/src/engines/dispatcher.test.ts
@@ -6,7 +6,7 @@
 import type { PlacementRequest } from './dispatcher.js';
 import { FakeDirectory } from './mocks/fake-directory.js';
 
-/** Time after which a host must know that a server is leaving. */
+/** Longest time for which requests may still be placed on a server that is leaving. */
 const MAX_NOTICE_DELAY_MS = 3000;
 
 function buildRequest(signal: AbortSignal): PlacementRequest {
--- a/packages/gateway/src/groups/group-run.ts
+++ b/packages/gateway/src/groups/group-run.ts
@@ -27,7 +27,10 @@
 type GroupRun = CompletionRun<GatewayContext>;
 type PartsOutcome = 'finished' | 'again' | Fault;
 
-/** Engines that groups may use: the last of each pool's order, as the first serve short work. */
+/**
+ * Engines that groups may use: the last ones in each pool's order, as the first ones serve short
+ * requests.
+ */
 function eligibleEngines(run: GroupRun): readonly AvailableEngine[] {
   const { context, request } = run;
   return request.resolution.pools.flatMap(({ object: pool }) => {
--- a/packages/gateway/src/settings.ts
+++ b/packages/gateway/src/settings.ts
@@ -37,7 +37,7 @@
   drainDelayMs: numberSetting
     .default(3000)
     .describe('time on a shutdown for the load balancer to route new requests elsewhere'),
-  maxBodyBytes: countSetting.default(16_000_000).describe('largest request body'),
+  maxBodyBytes: countSetting.default(16_000_000).describe('maximum size of a request body'),
   bodyTimeoutMs: millisecondsSetting
     .default(30_000)
     .describe('timeout for receiving a request body'),
@@ -46,7 +46,9 @@
     .default('predicted-start')
     .describe('engine selection policy; the last three are baselines'),
   useLanes: booleanSetting.default(true).describe('keep some engines free of long requests'),
-  useLateBinding: booleanSetting.default(true).describe('wait at the host while engines are busy'),
+  useLateBinding: booleanSetting
+    .default(true)
+    .describe('let requests wait at the host while engines are busy'),
   useAffinity: booleanSetting.default(true).describe('use prefix cache hints in placement'),
   usePriority: booleanSetting.default(true).describe('pass priorities to engines'),
   bindWithinMs: millisecondsSetting
--- a/packages/gateway/src/shares/share-keeper.ts
+++ b/packages/gateway/src/shares/share-keeper.ts
@@ -60,7 +60,7 @@
   readonly budgets: Budgets;
   readonly #table: ShareTable;
   readonly #self: string;
-  readonly #held = new Map<string, HeldShare>();
+  readonly #heldShares = new Map<string, HeldShare>();
   readonly #pendingGrants = new Map<string, PendingGrant>();
   readonly #receivedGrantIds = new Set<string>();
   readonly #pendingAcquisitions = new Map<string, Promise<void>>();
@@ -77,7 +77,7 @@
     readonly log: Log,
     readonly times: ShareTimes,
   ) {
-    this.budgets = new Budgets((id) => this.#held.get(id)?.share ?? 0);
+    this.budgets = new Budgets((id) => this.#heldShares.get(id)?.share ?? 0);
     this.#table = new ShareTable(table, clock, owner);
     this.#self = formatOwner(owner);
     mesh.on(SHARE_REQUEST_MESSAGE, shareRequestSchema, (from, ask) => {
@@ -99,7 +99,7 @@
 
   /** This host's share of a budget, from 0 to 1. */
   shareOf(budgetId: string): number {
-    return this.#held.get(budgetId)?.share ?? 0;
+    return this.#heldShares.get(budgetId)?.share ?? 0;
   }
 
   /**
@@ -120,21 +120,21 @@
   /** Returns the entry of a budget. Its first use acquires the share that no host holds. */
   async #getOrCreateEntry(applied: AppliedBudget): Promise<HeldShare> {
     const { id } = applied;
-    let held = this.#held.get(id);
+    let held = this.#heldShares.get(id);
     if (!held) {
       const demand = new DemandRate(DEMAND_HALF_LIFE_MS, this.clock.monotonicMs());
       held = { applied, demand, share: 0, noRequestsUntilMs: 0 };
-      this.#held.set(id, held);
+      this.#heldShares.set(id, held);
       const acquisition = this.#acquireFree(held).finally(() =>
         this.#pendingAcquisitions.delete(id),
       );
       this.#pendingAcquisitions.set(id, acquisition);
     } else if (held.applied.budget !== applied.budget) {
       held = { ...held, applied };
-      this.#held.set(id, held);
+      this.#heldShares.set(id, held);
     }
     await this.#pendingAcquisitions.get(id);
-    return this.#held.get(id) ?? held;
+    return this.#heldShares.get(id) ?? held;
   }
 
   async #acquireFree(held: HeldShare): Promise<void> {
@@ -144,7 +144,7 @@
   }
 
   #addShare(budgetId: string, share: number, units: number): void {
-    const held = this.#held.get(budgetId);
+    const held = this.#heldShares.get(budgetId);
     if (!held) return;
     held.share = Math.min(1, held.share + share);
     this.budgets.adjustUnits(held.applied, units, this.clock.monotonicMs());
@@ -186,7 +186,7 @@
   }
 
   #onShareRequest(from: Member, ask: { budgetId: string; wanted: number } & ShareDemand): void {
-    const held = this.#held.get(ask.budgetId);
+    const held = this.#heldShares.get(ask.budgetId);
     if (!held || held.share <= 0) return;
     const granted = shareToTransfer(this.#demandOf(held), ask, ask.wanted);
     if (granted <= 0) return;
@@ -209,7 +209,7 @@
 
   #onGrant(from: Member, grant: ShareGrant): void {
     this.mesh.send(from.host, SHARE_RECEIVED_MESSAGE, { id: grant.id });
-    if (this.#receivedGrantIds.has(grant.id) || !this.#held.has(grant.budgetId)) return;
+    if (this.#receivedGrantIds.has(grant.id) || !this.#heldShares.has(grant.budgetId)) return;
     this.#receivedGrantIds.add(grant.id);
     if (this.#receivedGrantIds.size > MAX_RECEIVED_GRANT_IDS) this.#receivedGrantIds.clear();
     this.#addShare(grant.budgetId, grant.share, grant.units);
@@ -239,7 +239,7 @@
   }
 
   #removeShare(budgetId: string, share: number): void {
-    const held = this.#held.get(budgetId);
+    const held = this.#heldShares.get(budgetId);
     if (!held) return;
     held.share = Math.max(0, held.share - share);
     this.budgets.onShareChanged(held.applied, this.clock.monotonicMs());
@@ -249,7 +249,7 @@
   async #reclaim(): Promise<void> {
     const members = this.mesh.members().map(({ member }) => member);
     const hosts = [...members.map((member) => member.host), this.mesh.settings.self.host];
-    for (const [id, held] of this.#held) {
+    for (const [id, held] of this.#heldShares) {
       const [responsibleHost] = rendezvousOrder(id, hosts, (host) => host);
       if (responsibleHost !== this.mesh.settings.self.host) continue;
       const row = await this.#table.read(id);
@@ -284,7 +284,7 @@
   async returnAll(): Promise<void> {
     await this.#recordTransfers();
     const now = this.clock.monotonicMs();
-    for (const [id, held] of this.#held) {
+    for (const [id, held] of this.#heldShares) {
       const units = Math.max(0, this.budgets.available(held.applied, now));
       if (await this.#table.returnShare(id, held.share, units)) held.share = 0;
     }
@@ -292,7 +292,7 @@
 
   /** This host's share of each budget, for `/status`. */
   list(): Readonly<Record<string, number>> {
-    return Object.fromEntries([...this.#held].map(([id, held]) => [id, held.share]));
+    return Object.fromEntries([...this.#heldShares].map(([id, held]) => [id, held.share]));
   }
 }
 
