--- a/packages/gateway/src/completions/admit.ts
+++ b/packages/gateway/src/completions/admit.ts
@@ -9,13 +9,13 @@
 import type { GatewayContext } from '../context.js';
 import type { AdmittedRequest, CompletionRequest } from './completion-request.js';
 
-/** Blocks of a prompt that are compared with the engines' caches; bounds the hashing. */
+/** Leading blocks of a prompt that are compared with the prefix caches; bounds the hashing. */
 const MAX_PREFIX_BLOCKS = 48;
 const DEFAULT_PRIORITY = 5;
 const DEFAULT_TIME_LIMIT_MS = 60_000;
 const NO_CLASS = 'none';
 
-/** The labels that selectors see: the caller's own words never override what the key fixes. */
+/** Labels that rule selectors match. Labels from headers never override those of the key. */
 export function trafficLabels(request: CompletionRequest): Labels {
   return {
     ...request.headers.labels,
@@ -41,8 +41,8 @@
   return undefined;
 }
 
-/** The budgets that a request is charged to: user, workspace, pool. */
-function budgetsOf(
+/** Budgets that a request is charged to: those of its user, its workspace and its pools. */
+function applicableBudgets(
   configuration: Configuration,
   caller: CompletionRequest['caller'],
   pools: Resolution['pools'],
@@ -61,7 +61,10 @@
   return budgets;
 }
 
-/** Decides everything about a request that doesn't depend on one engine. */
+/**
+ * Resolves everything about a request that does not depend on the engine it is placed on: rule,
+ * class, pools, priority, lane, deadline and budgets.
+ */
 export function resolveRequest(
   context: GatewayContext,
   request: CompletionRequest,
@@ -76,16 +79,16 @@
   const requestClass = resolution.requestClass?.object;
   const className = requestClass?.name ?? NO_CLASS;
   const promptTokens = context.correction.correct(className, body.estimatedTokens);
-  const wrong = checkRule(resolution, request, promptTokens);
-  if (wrong) return Result.err(wrong);
+  const ruleFault = checkRule(resolution, request, promptTokens);
+  if (ruleFault) return Result.err(ruleFault);
   const pools = resolution.pools.map((pool) => pool.object.name);
   const prefix = hashBlocks(body.prompt, MAX_PREFIX_BLOCKS).map(formatChainHash);
-  const open = context.engines.open(pools, model);
-  const cached = open.map(({ watched }) => context.cachedTokens(watched.name, prefix));
-  const workTokens = promptTokens - Math.max(0, ...cached);
+  const available = context.engines.listAvailable(pools, model);
+  const cachedTokens = available.map(({ engine }) => context.cachedTokens(engine.name, prefix));
+  const workTokens = promptTokens - Math.max(0, ...cachedTokens);
   context.lanes.observe(workTokens);
-  const needed = promptTokens + body.maxTokens;
-  const largest = Math.max(0, ...open.map(({ state }) => state.kvTokens));
+  const neededTokens = promptTokens + body.maxTokens;
+  const maxKvTokens = Math.max(0, ...available.map(({ state }) => state.kvTokens));
   const { rule } = resolution;
   const timeLimitMs =
     headers.timeLimitMs ?? requestClass?.spec.timeLimitMs ?? DEFAULT_TIME_LIMIT_MS;
@@ -101,15 +104,18 @@
     lane: context.lanes.laneOf(workTokens),
     prefix,
     deadlineMs: request.arrivedAtMs + timeLimitMs,
-    budgets: budgetsOf(configuration, request.caller, resolution.pools),
-    needsGroup: largest > 0 && needed > largest * (1 - GROUP_MARGIN),
+    budgets: applicableBudgets(configuration, request.caller, resolution.pools),
+    needsGroup: maxKvTokens > 0 && neededTokens > maxKvTokens * (1 - GROUP_MARGIN),
   });
 }
 
-/** Share of an engine's memory that one request can't have. */
+/** Fraction of an engine's memory that a single request cannot use. */
 const GROUP_MARGIN = 0.05;
 
-/** Refuses at once a request that can't finish in its limit as things stand. */
+/**
+ * Returns a fault if the request is not expected to finish before its deadline under the present
+ * load. Only requests placed by predicted start are checked.
+ */
 export function checkCanFinish(
   context: GatewayContext,
   request: AdmittedRequest,
@@ -117,14 +123,14 @@
   const { settings } = context;
   if (settings.placement !== 'predicted-start') return undefined;
   const now = context.clock.monotonicMs();
-  const open = context.engines.open(request.pools, request.body.model);
-  if (open.length === 0) return undefined;
-  const states = open.map(({ state }) => state);
+  const available = context.engines.listAvailable(request.pools, request.body.model);
+  if (available.length === 0) return undefined;
+  const states = available.map(({ state }) => state);
   const tokensPerMs = states.reduce((sum, state) => sum + state.prefillTokensPerMs, 0);
-  const ahead = states.map(
+  const workAheadMs = states.map(
     (state) => prefillTokensAtOrAbove(state, request.priority) / state.prefillTokensPerMs,
   );
-  const queuedTokens = context.dispatcher.queuedTokensBefore({
+  const queuedTokens = context.dispatcher.queuedTokensAhead({
     job: { ...request, outputTokens: 0, zone: '', cachedTokens: () => 0 },
     pools: request.pools,
     model: request.body.model,
@@ -134,7 +140,7 @@
     promptTokens: request.promptTokens,
     outputTokens: request.body.maxTokens - (request.headers.resume?.offset ?? 0),
     queuedTokens,
-    minWorkAheadMs: Math.min(...ahead),
+    minWorkAheadMs: Math.min(...workAheadMs),
     laneTokensPerMs: tokensPerMs / context.hostCount(),
     engineTokensPerMs: tokensPerMs / states.length,
     stepMs: settings.decodeStepMs,
--- a/packages/gateway/src/completions/answer.ts
+++ b/packages/gateway/src/completions/answer.ts
@@ -3,8 +3,8 @@
 import { faultBody, sendFault, sendJson } from '@poppypond/web';
 import type { CompletionStyle } from './request-body.js';
 
-/** What an answer needs to know of its request. */
-export interface AnswerHead {
+/** Fields of a request that its response repeats. */
+export interface ResponseMetadata {
   readonly requestId: string;
   readonly model: string;
   readonly style: CompletionStyle;
@@ -18,18 +18,19 @@
   readonly outputTokens: number;
 }
 
-/** The caller's side of a request. It ends once, with `finish` or `fail`. */
-export interface Answer {
+/** Writes the response to the caller. It ends exactly once, with either `finish` or `fail`. */
+export interface CompletionResponse {
   token(index: number, text: string): void;
   finish(usage: Usage): void;
-  /** Answers at once; a stream that has begun never looks complete afterwards. */
+  /** Sends a fault. A stream that has begun ends without `[DONE]`, so it never looks complete. */
   fail(fault: Fault): void;
 }
 
-/** The header that names the request, for questions about it afterwards. */
+/** Response header with the request's identifier, by which `/explain` finds its decisions. */
 export const REQUEST_ID_HEADER = 'x-poppypond-request';
 
 const FINISH_REASON = 'length';
+/** A stream with more unread bytes than this is closed: its caller reads too slowly. */
 const MAX_BUFFERED_BYTES = 4_000_000;
 
 function usageBody(usage: Usage) {
@@ -40,87 +41,87 @@
   };
 }
 
-/** An answer as server-sent events, in the form of common client libraries. */
-export class StreamAnswer implements Answer {
-  readonly #before: string;
-  readonly #after: string;
+/** Response as server-sent events, in the format that common client libraries read. */
+export class StreamedResponse implements CompletionResponse {
+  readonly #chunkPrefix: string;
+  readonly #chunkSuffix: string;
 
   constructor(
     readonly response: ServerResponse,
-    readonly head: AnswerHead,
+    readonly metadata: ResponseMetadata,
   ) {
-    const object = head.style === 'chat' ? 'chat.completion.chunk' : 'text_completion';
-    const common = `"id":${JSON.stringify(head.requestId)},"object":"${object}","created":${String(head.created)},"model":${JSON.stringify(head.model)}`;
-    const isChat = head.style === 'chat';
-    this.#before = `data: {${common},"choices":[{"index":0,${isChat ? '"delta":{"content":' : '"text":'}`;
-    this.#after = `${isChat ? '}' : ''},"finish_reason":null}]}\n\n`;
+    const object = metadata.style === 'chat' ? 'chat.completion.chunk' : 'text_completion';
+    const commonFields = `"id":${JSON.stringify(metadata.requestId)},"object":"${object}","created":${String(metadata.created)},"model":${JSON.stringify(metadata.model)}`;
+    const isChat = metadata.style === 'chat';
+    this.#chunkPrefix = `data: {${commonFields},"choices":[{"index":0,${isChat ? '"delta":{"content":' : '"text":'}`;
+    this.#chunkSuffix = `${isChat ? '}' : ''},"finish_reason":null}]}\n\n`;
   }
 
   token(index: number, text: string): void {
     if (this.response.destroyed) return;
-    if (!this.response.headersSent) this.#begin();
-    const id = `id: ${this.head.requestId}:${String(index)}\n`;
-    this.response.write(`${id}${this.#before}${JSON.stringify(text)}${this.#after}`);
+    if (!this.response.headersSent) this.#writeHead();
+    const id = `id: ${this.metadata.requestId}:${String(index)}\n`;
+    this.response.write(`${id}${this.#chunkPrefix}${JSON.stringify(text)}${this.#chunkSuffix}`);
     if (this.response.writableLength > MAX_BUFFERED_BYTES) this.response.destroy();
   }
 
   finish(usage: Usage): void {
     if (this.response.destroyed) return;
-    if (!this.response.headersSent) this.#begin();
-    const last = {
-      id: this.head.requestId,
-      object: this.head.style === 'chat' ? 'chat.completion.chunk' : 'text_completion',
-      created: this.head.created,
-      model: this.head.model,
+    if (!this.response.headersSent) this.#writeHead();
+    const finalChunk = {
+      id: this.metadata.requestId,
+      object: this.metadata.style === 'chat' ? 'chat.completion.chunk' : 'text_completion',
+      created: this.metadata.created,
+      model: this.metadata.model,
       choices: [
-        this.head.style === 'chat'
+        this.metadata.style === 'chat'
           ? { index: 0, delta: {}, finish_reason: FINISH_REASON }
           : { index: 0, text: '', finish_reason: FINISH_REASON },
       ],
       usage: usageBody(usage),
     };
-    this.response.end(`data: ${JSON.stringify(last)}\n\ndata: [DONE]\n\n`);
+    this.response.end(`data: ${JSON.stringify(finalChunk)}\n\ndata: [DONE]\n\n`);
   }
 
   fail(fault: Fault): void {
     if (!this.response.headersSent) {
-      const headers = { [REQUEST_ID_HEADER]: this.head.requestId };
-      return sendFault(this.response, fault, this.head.requestId, headers);
+      const headers = { [REQUEST_ID_HEADER]: this.metadata.requestId };
+      return sendFault(this.response, fault, this.metadata.requestId, headers);
     }
     if (this.response.destroyed) return;
-    this.response.end(`data: ${JSON.stringify(faultBody(fault, this.head.requestId))}\n\n`);
+    this.response.end(`data: ${JSON.stringify(faultBody(fault, this.metadata.requestId))}\n\n`);
   }
 
-  #begin(): void {
+  #writeHead(): void {
     this.response.writeHead(200, {
       'content-type': 'text/event-stream',
       'cache-control': 'no-store',
-      [REQUEST_ID_HEADER]: this.head.requestId,
+      [REQUEST_ID_HEADER]: this.metadata.requestId,
     });
   }
 }
 
-/** An answer in one piece. */
-export class WholeAnswer implements Answer {
-  readonly #texts: string[] = [];
+/** Response that is sent as one JSON document after the last token. */
+export class BufferedResponse implements CompletionResponse {
+  readonly #tokenTexts: string[] = [];
 
   constructor(
     readonly response: ServerResponse,
-    readonly head: AnswerHead,
+    readonly metadata: ResponseMetadata,
   ) {}
 
   token(_index: number, text: string): void {
-    this.#texts.push(text);
+    this.#tokenTexts.push(text);
   }
 
   finish(usage: Usage): void {
-    const text = this.#texts.join('');
-    const isChat = this.head.style === 'chat';
+    const text = this.#tokenTexts.join('');
+    const isChat = this.metadata.style === 'chat';
     const body = {
-      id: this.head.requestId,
+      id: this.metadata.requestId,
       object: isChat ? 'chat.completion' : 'text_completion',
-      created: this.head.created,
-      model: this.head.model,
+      created: this.metadata.created,
+      model: this.metadata.model,
       choices: [
         isChat
           ? {
@@ -132,11 +133,11 @@
       ],
       usage: usageBody(usage),
     };
-    sendJson(this.response, 200, body, { [REQUEST_ID_HEADER]: this.head.requestId });
+    sendJson(this.response, 200, body, { [REQUEST_ID_HEADER]: this.metadata.requestId });
   }
 
   fail(fault: Fault): void {
-    const headers = { [REQUEST_ID_HEADER]: this.head.requestId };
-    sendFault(this.response, fault, this.head.requestId, headers);
+    const headers = { [REQUEST_ID_HEADER]: this.metadata.requestId };
+    sendFault(this.response, fault, this.metadata.requestId, headers);
   }
 }
--- a/packages/gateway/src/quarantine/host-quarantine.ts
+++ b/packages/gateway/src/quarantine/host-quarantine.ts
@@ -12,35 +12,36 @@
 import { probeServer } from '@poppypond/web';
 import type { ServerEndpoint, ProbeResult } from '@poppypond/web';
 
-/** What it needs. */
+/** Dependencies of `HostQuarantine`. */
 export interface HostQuarantineParts {
   readonly clock: Clock;
   readonly log: Log;
   readonly metrics: Metrics;
   readonly host: string;
-  /** Whether a server whose answer broke off is there; a test answers for it. */
+  /** Checks whether a server whose response was cut is still running; replaced in tests. */
   readonly ask?: (server: ServerEndpoint) => Promise<ProbeResult>;
 }
 
-function placeOf(url: string): ServerEndpoint {
+function endpointOf(url: string): ServerEndpoint {
   const { hostname, port, protocol } = new URL(url);
-  const usualPort = protocol === 'https:' ? 443 : 80;
-  return { address: hostname, port: port === '' ? usualPort : Number(port) };
+  const defaultPort = protocol === 'https:' ? 443 : 80;
+  return { address: hostname, port: port === '' ? defaultPort : Number(port) };
 }
 
 /**
- * Requests under which backend servers ended, as this host has seen it. Without it a prompt that ends each engine
- * that runs it is given to one engine after another for as long as the retry budget lasts, and again
- * whenever its caller comes back. Other hosts find out by themselves.
+ * Quarantine of requests that terminate backend servers, as observed by this host. Without it a
+ * prompt that terminates each engine that runs it is sent to one engine after another for as long
+ * as the retry budget lasts, and again whenever its caller retries. Other hosts observe
+ * terminations by themselves; nothing is exchanged.
  */
 export class HostQuarantine implements QuarantineRegistry {
   readonly #quarantine = new Quarantine();
 
   constructor(readonly parts: HostQuarantineParts) {}
 
-  /** Follows one request. */
-  follow(request: RequestContent): RequestEnds {
-    return new RequestEnds(this, new FollowedRequest(this, request));
+  /** Tracks one request over its attempts. */
+  track(request: RequestContent): TerminationDetector {
+    return new TerminationDetector(this, new FollowedRequest(this, request));
   }
 
   mayContain(hint: () => string): boolean {
@@ -59,8 +60,8 @@
     return this.#quarantine.judge(content, this.parts.clock.monotonicMs());
   }
 
-  quarantinedForMs({ quarantinedUntilMs: heldUntilMs }: QuarantineEntry): Milliseconds {
-    return Math.max(0, heldUntilMs - this.parts.clock.monotonicMs());
+  quarantinedForMs({ quarantinedUntilMs }: QuarantineEntry): Milliseconds {
+    return Math.max(0, quarantinedUntilMs - this.parts.clock.monotonicMs());
   }
 
   onTermination(content: string, began: TerminationHistory, server: string): QuarantineEntry {
@@ -78,44 +79,44 @@
   }
 }
 
-/** Finds out which servers ended under one request, whose attempts run one after the other. */
-export class RequestEnds {
-  #attempts = 0;
+/** Detects servers that terminate while running one request; its attempts run in sequence. */
+export class TerminationDetector {
+  #attemptCount = 0;
 
   constructor(
     readonly quarantine: HostQuarantine,
     readonly followed: FollowedRequest,
   ) {}
 
-  /** Why it is not run now; undefined where it may be. */
-  heldBecause(): Fault | undefined {
+  /** Returns a `quarantined` fault if the request must not run now, otherwise undefined. */
+  checkHold(): Fault | undefined {
     const held = this.followed.checkHold();
     if (!held) return undefined;
     const servers = held.entry.lastTerminations.map(({ server }) => server).join(', ');
-    const detail = `servers ended under it: ${servers}`;
+    const detail = `servers terminated while running the request: ${servers}`;
     return fault('quarantined', detail, { retryAfterMs: held.forMs });
   }
 
-  /** It is given to a server. */
+  /** An attempt is sent to a server. */
   begin(): void {
-    this.#attempts += 1;
-    this.followed.begin(this.#attempt);
+    this.#attemptCount += 1;
+    this.followed.begin(this.#attemptId);
   }
 
-  /** It was served. */
+  /** The request was served. */
   onServed(): void {
     this.followed.onServed();
   }
 
-  /** An answer broke off; resolves when it is known whether its server has ended. */
-  async onCut(server: string, url: string): Promise<void> {
+  /** A response was cut. Resolves once it is known whether the server has terminated. */
+  async onResponseCut(server: string, url: string): Promise<void> {
     const { clock, ask } = this.quarantine.parts;
-    const place = placeOf(url);
+    const place = endpointOf(url);
     const state = await (ask ? ask(place) : probeServer(clock, place));
-    if (state !== 'listening') this.followed.onTerminated(this.#attempt, server);
+    if (state !== 'listening') this.followed.onTerminated(this.#attemptId, server);
   }
 
-  get #attempt(): string {
-    return String(this.#attempts);
+  get #attemptId(): string {
+    return String(this.#attemptCount);
   }
 }
--- a/packages/gateway/src/shares/share-messages.ts
+++ b/packages/gateway/src/shares/share-messages.ts
@@ -1,19 +1,19 @@
 import { z } from 'zod';
 
-/** Kinds of messages about shares. */
-export const SHARE_ASK = 'share-ask';
-export const SHARE_GRANT = 'share-grant';
-export const SHARE_TAKEN = 'share-taken';
+/** Kinds of messages about budget shares. */
+export const SHARE_REQUEST_MESSAGE = 'share-ask';
+export const SHARE_GRANT_MESSAGE = 'share-grant';
+export const SHARE_RECEIVED_MESSAGE = 'share-taken';
 
-/** A host asks for a part of a budget. */
-export const shareAskSchema = z.object({
+/** A host requests a share of a budget, and reports its own share and demand. */
+export const shareRequestSchema = z.object({
   budgetId: z.string(),
   wanted: z.number().positive(),
   share: z.number().nonnegative(),
   demand: z.number().nonnegative(),
 });
 
-/** A host has given a part away; sent again until it is confirmed. */
+/** A host transfers a share; sent again until it is confirmed. */
 export const shareGrantSchema = z.object({
   id: z.string(),
   budgetId: z.string(),
@@ -22,8 +22,8 @@
   units: z.number().nonnegative(),
 });
 
-/** A part has arrived. */
-export const shareTakenSchema = z.object({ id: z.string() });
+/** Confirms that a transfer has arrived. */
+export const shareReceivedSchema = z.object({ id: z.string() });
 
-/** A part on its way from one host to another. */
+/** A transfer of a share from one host to another. */
 export type ShareGrant = z.infer<typeof shareGrantSchema>;
