--- a/packages/backend/src/attempt.test.ts
+++ b/packages/backend/src/attempt.test.ts
@@ -82,10 +82,10 @@
   });
 
   it('takes a refusal for not run only when it was read whole', async () => {
-    const whole = await attempt((response) =>
+    const complete = await attempt((response) =>
       response.writeHead(409).end('{"refused":"no_memory"}'),
     );
-    expect(whole.end).toEqual({ kind: 'refused', reason: 'no_memory' });
+    expect(complete.end).toEqual({ kind: 'refused', reason: 'no_memory' });
     await server?.close();
     const cut = await attempt((response) => {
       response.writeHead(409, { 'content-length': '100' });
--- a/packages/backend/src/attempt.ts
+++ b/packages/backend/src/attempt.ts
@@ -94,7 +94,7 @@
 
 /** Reads the frames of one attempt: drops those of others, takes each index once, in order. */
 class FrameReader {
-  #next: number;
+  #nextIndex: number;
   end: AttemptEnd | undefined;
   readonly #idPrefix: string;
 
@@ -102,7 +102,7 @@
     readonly call: AttemptCall,
     readonly listener: AttemptListener,
   ) {
-    this.#next = call.resumeOffset;
+    this.#nextIndex = call.resumeOffset;
     this.#idPrefix = `${String(call.attempt)}:`;
   }
 
@@ -112,12 +112,12 @@
     if (!id?.startsWith(this.#idPrefix)) return;
     if (event === 'done') return this.#finish(data);
     const index = Number(id.slice(this.#idPrefix.length));
-    if (index < this.#next) return;
-    if (index > this.#next) {
-      this.end = { kind: 'cut', detail: `token ${String(this.#next)} is missing` };
+    if (index < this.#nextIndex) return;
+    if (index > this.#nextIndex) {
+      this.end = { kind: 'cut', detail: `token ${String(this.#nextIndex)} is missing` };
       return;
     }
-    this.#next += 1;
+    this.#nextIndex += 1;
     this.listener.onToken(index, data);
   };
 
@@ -129,14 +129,14 @@
   #finish(data: string): void {
     const done = doneSchema.safeParse(parseJson(data));
     if (!done.success) this.end = { kind: 'cut', detail: 'malformed end' };
-    else if (done.data.end === 'done' && this.#isWhole()) {
+    else if (done.data.end === 'done' && this.#isComplete()) {
       this.end = { kind: 'done', promptTokens: done.data.promptTokens };
     } else if (done.data.end === 'time_limit') this.end = { kind: 'time_limit' };
     else this.end = { kind: 'cut', detail: `ended early (${done.data.end})` };
   }
 
-  #isWhole(): boolean {
-    return this.call.isPrefillOnly === true || this.#next === this.call.maxTokens;
+  #isComplete(): boolean {
+    return this.call.isPrefillOnly === true || this.#nextIndex === this.call.maxTokens;
   }
 }
 
@@ -154,8 +154,8 @@
 async function readRefusal(response: IncomingMessage): Promise<AttemptEnd> {
   const refused = refusedSchema.safeParse(parseJson(await readText(response)));
   const { headers, statusCode } = response;
-  const restMs = statusCode === UNAVAILABLE ? readRetryAfter(headers, Date.now()) : undefined;
-  if (refused.success) return { kind: 'refused', reason: refused.data.refused, backoffMs: restMs };
+  const backoffMs = statusCode === UNAVAILABLE ? readRetryAfter(headers, Date.now()) : undefined;
+  if (refused.success) return { kind: 'refused', reason: refused.data.refused, backoffMs };
   return { kind: 'cut', detail: `status ${String(response.statusCode)}` };
 }
 
--- a/packages/backend/src/engine-memory.ts
+++ b/packages/backend/src/engine-memory.ts
@@ -9,7 +9,7 @@
 const reservedSchema = z.object({ reservation: z.string() });
 const renewedSchema = z.object({ lost: z.array(z.string()) });
 const releasedSchema = z.object({ tokens: z.number() });
-const heldSchema = z.object({
+const reservationSchema = z.object({
   id: z.string(),
   owner: z.string(),
   requestId: z.string(),
@@ -20,10 +20,10 @@
   timeRemainingMs: z.number(),
   isRunning: z.boolean(),
 });
-const listSchema = z.object({ reservations: z.array(heldSchema) });
+const listSchema = z.object({ reservations: z.array(reservationSchema) });
 
 /** Memory that an engine holds for a request. */
-export type MemoryReservation = Readonly<z.infer<typeof heldSchema>>;
+export type MemoryReservation = Readonly<z.infer<typeof reservationSchema>>;
 
 /** What is to be reserved. */
 export interface ReserveCall {
--- a/packages/backend/src/line-feed.ts
+++ b/packages/backend/src/line-feed.ts
@@ -2,10 +2,10 @@
 import type { Clock, Milliseconds } from '@poppypond/core';
 import { openHttp } from '@poppypond/web';
 
-const FIRST_BACK_OFF_MS = 100;
-const LONGEST_BACK_OFF_MS = 3000;
+const INITIAL_BACKOFF_MS = 100;
+const MAX_BACKOFF_MS = 3000;
 const OPEN_TIMEOUT_MS = 3000;
-const JITTER_SHARE = 0.5;
+const JITTER_RATIO = 0.5;
 
 /** Called with what a feed brings. */
 export interface FeedListener {
@@ -18,7 +18,7 @@
 export class JsonLinesFeed {
   #abort: AbortController | undefined;
   #isStopped = false;
-  #backOffMs: Milliseconds = FIRST_BACK_OFF_MS;
+  #backoffMs: Milliseconds = INITIAL_BACKOFF_MS;
 
   constructor(
     readonly url: string,
@@ -49,27 +49,27 @@
       timeoutMs: OPEN_TIMEOUT_MS,
       signal: abort.signal,
     });
-    if (opened.isErr) return this.#openLater();
-    let rest = '';
+    if (opened.isErr) return this.#scheduleReopen();
+    let partialLine = '';
     const response = opened.value;
     response.setEncoding('utf8');
     response.on('data', (chunk: string) => {
-      this.#backOffMs = FIRST_BACK_OFF_MS;
-      const lines = (rest + chunk).split('\n');
-      rest = lines.pop() ?? '';
+      this.#backoffMs = INITIAL_BACKOFF_MS;
+      const lines = (partialLine + chunk).split('\n');
+      partialLine = lines.pop() ?? '';
       for (const line of lines) this.listener.onLine(parseJson(line));
     });
     response.once('error', () => undefined);
     response.once('close', () => {
       this.listener.onClosed();
-      this.#openLater();
+      this.#scheduleReopen();
     });
   }
 
-  #openLater(): void {
+  #scheduleReopen(): void {
     if (this.#isStopped) return;
-    const delayMs = this.#backOffMs * (1 - JITTER_SHARE * Math.random());
-    this.#backOffMs = Math.min(LONGEST_BACK_OFF_MS, this.#backOffMs * 2);
+    const delayMs = this.#backoffMs * (1 - JITTER_RATIO * Math.random());
+    this.#backoffMs = Math.min(MAX_BACKOFF_MS, this.#backoffMs * 2);
     this.clock.after(delayMs, () => {
       if (!this.#isStopped) void this.#open();
     });
--- a/packages/backend/src/service-call.test.ts
+++ b/packages/backend/src/service-call.test.ts
@@ -10,7 +10,7 @@
   await server?.close();
 });
 
-async function callOf(
+async function callWithResponse(
   status: number,
   headers: Readonly<Record<string, string>>,
 ): Promise<ServiceEnd> {
@@ -37,14 +37,14 @@
 describe('callService', () => {
   it('tells the rest that a service asks for with a 503, whether it has run the call or not', async () => {
     const notRun = { 'x-not-run': '1', 'retry-after': '2.5' };
-    expect(await callOf(503, notRun)).toMatchObject({ kind: 'not_run', backoffMs: 2500 });
+    expect(await callWithResponse(503, notRun)).toMatchObject({ kind: 'not_run', backoffMs: 2500 });
     await server?.close();
-    const answered = await callOf(503, { 'retry-after': '1' });
+    const answered = await callWithResponse(503, { 'retry-after': '1' });
     expect(answered).toMatchObject({ kind: 'answered', backoffMs: 1000 });
   });
 
   it('takes no rest from other answers', async () => {
-    const answered = await callOf(200, { 'retry-after': '1' });
+    const answered = await callWithResponse(200, { 'retry-after': '1' });
     expect(answered).toMatchObject({ kind: 'answered', backoffMs: undefined });
   });
 });
--- a/packages/backend/src/service-call.ts
+++ b/packages/backend/src/service-call.ts
@@ -51,10 +51,14 @@
     return { kind: mayHaveArrived ? 'unknown' : 'not_run', detail };
   }
   const { status, headers, body } = reply.value;
-  const restMs = status === UNAVAILABLE ? readRetryAfter(headers, Date.now()) : undefined;
+  const backoffMs = status === UNAVAILABLE ? readRetryAfter(headers, Date.now()) : undefined;
   if (headers[NOT_RUN_HEADER] !== undefined) {
-    return { kind: 'not_run', detail: `refused with status ${String(status)}`, backoffMs: restMs };
+    return {
+      kind: 'not_run',
+      detail: `refused with status ${String(status)}`,
+      backoffMs,
+    };
   }
   const contentType = headers['content-type'] ?? 'application/octet-stream';
-  return { kind: 'answered', status, contentType, body, backoffMs: restMs };
+  return { kind: 'answered', status, contentType, body, backoffMs };
 }
--- a/packages/core/src/boot-clock.ts
+++ b/packages/core/src/boot-clock.ts
@@ -4,7 +4,7 @@
 const CLOCK_BOOTTIME = 7;
 /** Seconds and nanoseconds, 64 bits each. */
 const TIMESPEC_BYTES = 16;
-const NANOSECONDS_AT = 8;
+const NANOSECONDS_OFFSET = 8;
 const MS_PER_SECOND = 1000;
 const NS_PER_MS = 1_000_000;
 
@@ -31,7 +31,7 @@
     read = () => {
       getTime(CLOCK_BOOTTIME, time);
       const seconds = Number(time.readBigInt64LE(0));
-      const nanoseconds = Number(time.readBigInt64LE(NANOSECONDS_AT));
+      const nanoseconds = Number(time.readBigInt64LE(NANOSECONDS_OFFSET));
       return seconds * MS_PER_SECOND + nanoseconds / NS_PER_MS;
     };
     return undefined;
--- a/packages/core/src/clock.test.ts
+++ b/packages/core/src/clock.test.ts
@@ -13,12 +13,12 @@
  */
 
 /** A machine whose clocks go on in virtual time. */
-class Machine {
+class SuspendableHost {
   suspendedMs = 0;
-  setForwardMs = 0;
+  wallStepMs = 0;
   readonly clock = new SystemClock({
     steadyMs: () => performance.now(),
-    wallMs: () => Date.now() + this.suspendedMs + this.setForwardMs,
+    wallMs: () => Date.now() + this.suspendedMs + this.wallStepMs,
     bootMs: () => performance.now() + this.suspendedMs,
   });
 
@@ -38,42 +38,42 @@
 
 describe('SystemClock', () => {
   it('counts the time for which its machine was suspended, at the first look after it, and no step of the time of day', () => {
-    const machine = new Machine();
-    const beforeMs = machine.clock.monotonicMs();
+    const host = new SuspendableHost();
+    const beforeMs = host.clock.monotonicMs();
     vi.advanceTimersByTime(100);
-    machine.suspend(4000);
-    expect(machine.clock.monotonicMs()).toBe(beforeMs + 4100);
-    machine.suspend(300);
+    host.suspend(4000);
+    expect(host.clock.monotonicMs()).toBe(beforeMs + 4100);
+    host.suspend(300);
     vi.advanceTimersByTime(50);
-    expect(machine.clock.monotonicMs()).toBe(beforeMs + 4450);
+    expect(host.clock.monotonicMs()).toBe(beforeMs + 4450);
     // A step of the time of day is none, alone or together with one.
-    machine.setForwardMs = 5000;
-    expect(machine.clock.monotonicMs()).toBe(beforeMs + 4450);
-    machine.setForwardMs = -2000;
-    expect(machine.clock.monotonicMs()).toBe(beforeMs + 4450);
-    machine.suspend(3000);
-    machine.setForwardMs = 2500;
-    expect(machine.clock.monotonicMs()).toBe(beforeMs + 7450);
+    host.wallStepMs = 5000;
+    expect(host.clock.monotonicMs()).toBe(beforeMs + 4450);
+    host.wallStepMs = -2000;
+    expect(host.clock.monotonicMs()).toBe(beforeMs + 4450);
+    host.suspend(3000);
+    host.wallStepMs = 2500;
+    expect(host.clock.monotonicMs()).toBe(beforeMs + 7450);
     // One that a step hides is seen within a second.
-    const cancel = machine.clock.every(500, () => undefined);
-    machine.suspend(3000);
-    machine.setForwardMs = -500;
+    const cancel = host.clock.every(500, () => undefined);
+    host.suspend(3000);
+    host.wallStepMs = -500;
     vi.advanceTimersByTime(1000);
-    expect(machine.clock.monotonicMs()).toBe(beforeMs + 11_450);
+    expect(host.clock.monotonicMs()).toBe(beforeMs + 11_450);
     cancel();
   });
 
   it('calls at once what was due while its machine was suspended, and the rest in time', () => {
-    const machine = new Machine();
+    const host = new SuspendableHost();
     const called: string[] = [];
-    machine.clock.monotonicMs();
-    machine.clock.after(2000, () => called.push('due'));
-    machine.clock.after(6000, () => called.push('later'));
-    const cancel = machine.clock.after(1000, () => called.push('cancelled'));
+    host.clock.monotonicMs();
+    host.clock.after(2000, () => called.push('due'));
+    host.clock.after(6000, () => called.push('later'));
+    const cancel = host.clock.after(1000, () => called.push('cancelled'));
     cancel();
-    const cancelEvery = machine.clock.every(3000, () => called.push('every'));
-    machine.suspend(4000);
-    machine.clock.monotonicMs();
+    const cancelEvery = host.clock.every(3000, () => called.push('every'));
+    host.suspend(4000);
+    host.clock.monotonicMs();
     vi.advanceTimersByTime(1);
     expect(called).toEqual(['due', 'every']);
     vi.advanceTimersByTime(1999);
--- a/packages/core/src/clock.ts
+++ b/packages/core/src/clock.ts
@@ -45,7 +45,7 @@
  * A step of the time of day at the same moment can hide a suspension from it, so the clock that counts
  * suspended time, which costs 1.6 us to read, ten times as much, is read this often anyway.
  */
-const LOOK_PERIOD_MS: Milliseconds = 500;
+const BOOT_CLOCK_CHECK_PERIOD_MS: Milliseconds = 500;
 
 interface Timer {
   readonly dueMs: Milliseconds;
@@ -61,24 +61,24 @@
  */
 export class SystemClock implements Clock {
   readonly #timers = new Set<Timer>();
-  #sleptMs: Milliseconds = 0;
+  #suspendedMs: Milliseconds = 0;
   /** How far the time of day is ahead of the steady clock. */
-  #wallAheadMs: Milliseconds;
+  #wallOffsetMs: Milliseconds;
   /** How far the clock that counts suspended time was ahead of the steady clock when first read. */
-  #bootAheadMs: Milliseconds | undefined;
-  #lookedAtMs: Milliseconds;
+  #bootOffsetMs: Milliseconds | undefined;
+  #checkedAtMs: Milliseconds;
 
   constructor(readonly sources: ClockSources = SYSTEM_SOURCES) {
     const steadyMs = sources.steadyMs();
-    this.#wallAheadMs = sources.wallMs() - steadyMs;
-    this.#lookedAtMs = steadyMs;
-    this.#bootAheadMs = this.#readBootAhead();
+    this.#wallOffsetMs = sources.wallMs() - steadyMs;
+    this.#checkedAtMs = steadyMs;
+    this.#bootOffsetMs = this.#readBootOffset();
   }
 
   monotonicMs(): Milliseconds {
     const steadyMs = this.sources.steadyMs();
-    if (this.#mayHaveSlept(steadyMs)) this.#look(steadyMs);
-    return steadyMs + this.#sleptMs;
+    if (this.#mayHaveBeenSuspended(steadyMs)) this.#checkForSuspension(steadyMs);
+    return steadyMs + this.#suspendedMs;
   }
 
   wallMs(): Milliseconds {
@@ -108,25 +108,25 @@
     timer.callback();
   }
 
-  #mayHaveSlept(steadyMs: Milliseconds): boolean {
-    if (steadyMs - this.#lookedAtMs >= LOOK_PERIOD_MS) return true;
-    return Math.abs(this.sources.wallMs() - steadyMs - this.#wallAheadMs) > CLOCK_NOISE_MS;
+  #mayHaveBeenSuspended(steadyMs: Milliseconds): boolean {
+    if (steadyMs - this.#checkedAtMs >= BOOT_CLOCK_CHECK_PERIOD_MS) return true;
+    return Math.abs(this.sources.wallMs() - steadyMs - this.#wallOffsetMs) > CLOCK_NOISE_MS;
   }
 
-  #look(steadyMs: Milliseconds): void {
-    this.#lookedAtMs = steadyMs;
-    this.#wallAheadMs = this.sources.wallMs() - steadyMs;
-    const bootAheadMs = this.#readBootAhead();
-    if (bootAheadMs === undefined) return;
-    this.#bootAheadMs ??= bootAheadMs;
-    const sleptMs = bootAheadMs - this.#bootAheadMs;
-    if (sleptMs <= this.#sleptMs + CLOCK_NOISE_MS) return;
-    this.#sleptMs = sleptMs;
-    this.#callWhatWasDue();
+  #checkForSuspension(steadyMs: Milliseconds): void {
+    this.#checkedAtMs = steadyMs;
+    this.#wallOffsetMs = this.sources.wallMs() - steadyMs;
+    const bootOffsetMs = this.#readBootOffset();
+    if (bootOffsetMs === undefined) return;
+    this.#bootOffsetMs ??= bootOffsetMs;
+    const suspendedMs = bootOffsetMs - this.#bootOffsetMs;
+    if (suspendedMs <= this.#suspendedMs + CLOCK_NOISE_MS) return;
+    this.#suspendedMs = suspendedMs;
+    this.#rescheduleTimers();
   }
 
   /** A process that is stopped between two readings must not take that for a suspension. */
-  #readBootAhead(): Milliseconds | undefined {
+  #readBootOffset(): Milliseconds | undefined {
     const { steadyMs, bootMs } = this.sources;
     const beforeMs = steadyMs();
     const readMs = bootMs();
@@ -135,8 +135,8 @@
   }
 
   /** The system's timers did not run either. */
-  #callWhatWasDue(): void {
-    const nowMs = this.sources.steadyMs() + this.#sleptMs;
+  #rescheduleTimers(): void {
+    const nowMs = this.sources.steadyMs() + this.#suspendedMs;
     for (const timer of this.#timers) {
       clearTimeout(timer.handle);
       timer.handle = this.#arm(timer.dueMs - nowMs, () => {
--- a/packages/core/src/result-codes.test.ts
+++ b/packages/core/src/result-codes.test.ts
@@ -3,7 +3,7 @@
 import { newOwner, newRequestId, formatOwner, parseOwner, parseRequestId } from './identifiers.js';
 import { RESULT_CODES } from './result-codes.js';
 
-const OUTCOME_RANGES = [
+const OUTCOME_BY_RANGE = [
   ['not_run', 1000],
   ['not_run', 2000],
   ['ran', 3000],
@@ -33,7 +33,7 @@
   it('have one number each, and one outcome for each range', () => {
     const codes = Object.values(RESULT_CODES);
     expect(new Set(codes.map((code) => code.number)).size).toBe(codes.length);
-    for (const [outcome, from] of OUTCOME_RANGES) {
+    for (const [outcome, from] of OUTCOME_BY_RANGE) {
       const inRange = codes.filter(({ number }) => number >= from && number < from + 1000);
       for (const code of inRange) expect(code.outcome).toBe(outcome);
     }
--- a/packages/hashing/src/prefix-chain.ts
+++ b/packages/hashing/src/prefix-chain.ts
@@ -41,9 +41,9 @@
 /** The chain value after all of `text`, its last part block included. */
 export function hashText(text: string, start: bigint = CHAIN_START): bigint {
   const blocks = hashBlocks(text, Number.POSITIVE_INFINITY, start);
-  const rest = text.slice(blocks.length * BLOCK_CHARACTERS);
+  const remainder = text.slice(blocks.length * BLOCK_CHARACTERS);
   const value = blocks.at(-1) ?? start;
-  return rest.length > 0 ? h64(rest, value) : value;
+  return remainder.length > 0 ? h64(remainder, value) : value;
 }
 
 /** A chain value as 16 hexadecimal digits. */
--- a/packages/hashing/src/rendezvous.ts
+++ b/packages/hashing/src/rendezvous.ts
@@ -8,7 +8,7 @@
   readonly weight: bigint;
 }
 
-function compare<Item>(a: Ranked<Item>, b: Ranked<Item>): number {
+function compareRanked<Item>(a: Ranked<Item>, b: Ranked<Item>): number {
   if (a.weight !== b.weight) return a.weight > b.weight ? -1 : 1;
   return a.name.localeCompare(b.name);
 }
@@ -25,6 +25,6 @@
   const seed = h64(key);
   return items
     .map((item) => ({ item, name: nameOf(item), weight: h64(nameOf(item), seed) }))
-    .sort(compare)
+    .sort(compareRanked)
     .map((ranked) => ranked.item);
 }
--- a/packages/objects/src/configuration.ts
+++ b/packages/objects/src/configuration.ts
@@ -22,9 +22,9 @@
   readonly revision: number;
 }
 
-type ByKind = { readonly [Kind in ObjectKind]: Map<string, Versioned<Kind>> };
+type ObjectsByKind = { readonly [Kind in ObjectKind]: Map<string, Versioned<Kind>> };
 
-function emptyByKind(): ByKind {
+function createEmptyIndex(): ObjectsByKind {
   return {
     pool: new Map(),
     'backend-server': new Map(),
@@ -52,7 +52,7 @@
 export class Configuration {
   static readonly empty = new Configuration(0, new Map());
 
-  readonly #byKind = emptyByKind();
+  readonly #byKind = createEmptyIndex();
   readonly #keysByHash = new Map<string, Versioned<'key'>>();
   readonly #poolMembers = new Map<string, readonly Versioned<'backend-server'>[]>();
 
--- a/packages/objects/src/objects.test.ts
+++ b/packages/objects/src/objects.test.ts
@@ -35,23 +35,23 @@
 describe('selectors', () => {
   it('can be written and read back', () => {
     fc.assert(
-      fc.property(selector, (given) => {
-        expect(parseSelector(formatSelector(given))).toEqual(given);
+      fc.property(selector, (generated) => {
+        expect(parseSelector(formatSelector(generated))).toEqual(generated);
       }),
       { seed: 41 },
     );
   });
 
   it('are only called impossible when no labels meet them', () => {
-    const some = fc.option(value, { nil: undefined });
+    const optionalValue = fc.option(value, { nil: undefined });
     fc.assert(
-      fc.property(selector, some, some, some, (given, a, b, c) => {
+      fc.property(selector, optionalValue, optionalValue, optionalValue, (generated, a, b, c) => {
         const labels = Object.fromEntries(
-          Object.entries({ a, b, c }).flatMap(([name, one]) =>
-            one === undefined ? [] : [[name, one]],
+          Object.entries({ a, b, c }).flatMap(([name, labelValue]) =>
+            labelValue === undefined ? [] : [[name, labelValue]],
           ),
         );
-        if (matchesSelector(given, labels)) expect(isUnsatisfiable(given)).toBe(false);
+        if (matchesSelector(generated, labels)) expect(isUnsatisfiable(generated)).toBe(false);
       }),
       { seed: 42, numRuns: 2000 },
     );
--- a/packages/objects/src/selector.ts
+++ b/packages/objects/src/selector.ts
@@ -31,7 +31,7 @@
 /** Conditions that must all hold. */
 export type Selector = readonly SelectorTerm[];
 
-function isTermMet(term: SelectorTerm, labels: Labels): boolean {
+function matchesTerm(term: SelectorTerm, labels: Labels): boolean {
   const value = labels[term.key];
   switch (term.operator) {
     case 'equals':
@@ -49,10 +49,10 @@
 
 /** Whether `labels` meet every term of `selector`. */
 export function matchesSelector(selector: Selector, labels: Labels): boolean {
-  return selector.every((term) => isTermMet(term, labels));
+  return selector.every((term) => matchesTerm(term, labels));
 }
 
-function termText(term: SelectorTerm): string {
+function formatTerm(term: SelectorTerm): string {
   switch (term.operator) {
     case 'equals':
       return `${term.key}=${term.value}`;
@@ -69,13 +69,17 @@
 
 /** The form that `parseSelector` reads. */
 export function formatSelector(selector: Selector): string {
-  return selector.map(termText).join('; ');
+  return selector.map(formatTerm).join('; ');
 }
 
 function parseTerm(text: string): unknown {
-  const set = /^(\S+) (in|not-in) \(([^)]*)\)$/.exec(text);
-  if (set) {
-    return { key: set[1], operator: set[2], values: set[3]?.split(',').map((v) => v.trim()) };
+  const setTerm = /^(\S+) (in|not-in) \(([^)]*)\)$/.exec(text);
+  if (setTerm) {
+    return {
+      key: setTerm[1],
+      operator: setTerm[2],
+      values: setTerm[3]?.split(',').map((item) => item.trim()),
+    };
   }
   const equals = /^([^=!\s]+)=(.*)$/.exec(text);
   if (equals) return { key: equals[1], operator: 'equals', value: equals[2] };
@@ -99,7 +103,9 @@
 /** Whether no labels at all can meet the selector, judged term by term on each key. */
 export function isUnsatisfiable(selector: Selector): boolean {
   return selector.some((term, index) =>
-    selector.slice(index + 1).some((other) => other.key === term.key && areOpposed(term, other)),
+    selector
+      .slice(index + 1)
+      .some((other) => other.key === term.key && areContradictory(term, other)),
   );
 }
 
@@ -108,12 +114,12 @@
   return term.operator === 'in' ? term.values : undefined;
 }
 
-function areOpposed(left: SelectorTerm, right: SelectorTerm): boolean {
+function areContradictory(left: SelectorTerm, right: SelectorTerm): boolean {
   const candidates = allowedValues(left) ?? allowedValues(right);
   if (candidates) {
     return !candidates.some((value) => {
       const labels = { [left.key]: value };
-      return isTermMet(left, labels) && isTermMet(right, labels);
+      return matchesTerm(left, labels) && matchesTerm(right, labels);
     });
   }
   const operators = [left.operator, right.operator];
--- a/packages/objects/src/validate.ts
+++ b/packages/objects/src/validate.ts
@@ -42,7 +42,7 @@
   return problems.length > 0 ? Result.err(problems) : Result.ok(objects);
 }
 
-function warnSelector(
+function selectorWarnings(
   where: string,
   selector: Selector,
   candidates: readonly Labels[],
@@ -57,15 +57,17 @@
   const pools = configuration.list('pool').map((pool) => pool.object.labels);
   switch (object.kind) {
     case 'rule': {
-      const never = isUnsatisfiable(object.spec.traffic) ? [`${id}: traffic can never match`] : [];
-      if (object.spec.action === 'refuse') return never;
-      return [...never, ...warnSelector(`${id}: pools`, object.spec.pools, pools)];
+      const trafficWarnings = isUnsatisfiable(object.spec.traffic)
+        ? [`${id}: traffic can never match`]
+        : [];
+      if (object.spec.action === 'refuse') return trafficWarnings;
+      return [...trafficWarnings, ...selectorWarnings(`${id}: pools`, object.spec.pools, pools)];
     }
     case 'model':
-      return warnSelector(`${id}: pools`, object.spec.pools, pools);
+      return selectorWarnings(`${id}: pools`, object.spec.pools, pools);
     case 'pool': {
       const servers = configuration.list('backend-server').map((server) => server.object.labels);
-      return warnSelector(`${id}: members`, object.spec.members, servers);
+      return selectorWarnings(`${id}: members`, object.spec.members, servers);
     }
     case 'request-class':
       return isUnsatisfiable(object.spec.traffic) ? [`${id}: traffic can never match`] : [];
--- a/packages/peer/src/membership.test.ts
+++ b/packages/peer/src/membership.test.ts
@@ -24,12 +24,12 @@
     for (let round = 0; round < rounds; round += 1) {
       for (let index = 0; index < receivers; index += 1) {
         const { host } = member(index);
-        const heard = told.get(host) ?? new Set();
-        for (const news of membership.nextGossip(host, 4)) heard.add(news.member.host);
-        told.set(host, heard);
+        const receivedHosts = told.get(host) ?? new Set();
+        for (const news of membership.nextGossip(host, 4)) receivedHosts.add(news.member.host);
+        told.set(host, receivedHosts);
       }
     }
-    expect([...told.values()].map((heard) => heard.size)).toEqual(
+    expect([...told.values()].map((receivedHosts) => receivedHosts.size)).toEqual(
       Array.from({ length: receivers }, () => members),
     );
   });
--- a/packages/peer/src/membership.ts
+++ b/packages/peer/src/membership.ts
@@ -1,7 +1,7 @@
 import type { Clock, Milliseconds } from '@poppypond/core';
 import type { Member, MemberGossip } from './messages.js';
 
-const MAX_REMOVED = 10_000;
+const MAX_REMOVED_INCARNATIONS = 10_000;
 
 /** `suspect`: not heard of for a while, not removed yet. */
 export type MemberState = 'alive' | 'suspect';
@@ -30,9 +30,9 @@
 export class Membership {
   readonly #entries = new Map<string, Entry>();
   /** Incarnation of a removed run to its last heartbeat. */
-  readonly #removed = new Map<string, number>();
+  readonly #lastBeatOfRemoved = new Map<string, number>();
   /** Which entry comes next in the news for each receiver. */
-  readonly #nextNews = new Map<string, number>();
+  readonly #nextGossipIndex = new Map<string, number>();
 
   constructor(
     readonly self: Member,
@@ -43,9 +43,9 @@
   /** Notes that a member itself was heard. */
   recordContact(member: Member, beat: number): void {
     const known = this.#entries.get(member.host);
-    const isSameRun = known?.member.incarnation === member.incarnation;
-    const newest = isSameRun ? Math.max(known.beat, beat) : beat;
-    this.#put(member, newest);
+    const isSameIncarnation = known?.member.incarnation === member.incarnation;
+    const newestBeat = isSameIncarnation ? Math.max(known.beat, beat) : beat;
+    this.#update(member, newestBeat);
   }
 
   /**
@@ -54,21 +54,21 @@
    */
   recordGossip({ member, beat }: MemberGossip): void {
     const known = this.#entries.get(member.host);
-    if (!known) return this.#put(member, beat);
-    const isSameRun = known.member.incarnation === member.incarnation;
-    if (isSameRun && beat > known.beat) return this.#put(member, beat);
+    if (!known) return this.#update(member, beat);
+    const isSameIncarnation = known.member.incarnation === member.incarnation;
+    if (isSameIncarnation && beat > known.beat) return this.#update(member, beat);
     const silentMs = this.clock.monotonicMs() - known.heardAtMs;
-    if (!isSameRun && silentMs > this.times.suspectAfterMs) this.#put(member, beat);
+    if (!isSameIncarnation && silentMs > this.times.suspectAfterMs) this.#update(member, beat);
   }
 
-  #put(member: Member, beat: number): void {
-    if (member.host === this.self.host || this.#isForgotten(member, beat)) return;
+  #update(member: Member, beat: number): void {
+    if (member.host === this.self.host || this.#isStale(member, beat)) return;
     this.#entries.set(member.host, { member, beat, heardAtMs: this.clock.monotonicMs() });
   }
 
   /** A removed run comes back only with a newer heartbeat than it was removed with. */
-  #isForgotten(member: Member, beat: number): boolean {
-    return beat <= (this.#removed.get(member.incarnation) ?? -1);
+  #isStale(member: Member, beat: number): boolean {
+    return beat <= (this.#lastBeatOfRemoved.get(member.incarnation) ?? -1);
   }
 
   /**
@@ -77,12 +77,12 @@
    */
   nextGossip(receiver: string, count: number): readonly MemberGossip[] {
     const all = [...this.#entries.values()];
-    const first = this.#nextNews.get(receiver) ?? 0;
+    const firstIndex = this.#nextGossipIndex.get(receiver) ?? 0;
     const news = Array.from({ length: Math.min(count, all.length) }, (_, index) => {
-      const entry = all[(first + index) % all.length];
+      const entry = all[(firstIndex + index) % all.length];
       return entry ? [{ member: entry.member, beat: entry.beat }] : [];
     });
-    this.#nextNews.set(receiver, (first + count) % Math.max(1, all.length));
+    this.#nextGossipIndex.set(receiver, (firstIndex + count) % Math.max(1, all.length));
     return news.flat();
   }
 
@@ -110,9 +110,9 @@
     const entry = this.#entries.get(host);
     if (!entry) return;
     this.#entries.delete(host);
-    this.#nextNews.delete(host);
-    if (this.#removed.size > MAX_REMOVED) this.#removed.clear();
-    this.#removed.set(entry.member.incarnation, entry.beat);
+    this.#nextGossipIndex.delete(host);
+    if (this.#lastBeatOfRemoved.size > MAX_REMOVED_INCARNATIONS) this.#lastBeatOfRemoved.clear();
+    this.#lastBeatOfRemoved.set(entry.member.incarnation, entry.beat);
   }
 
   find(host: string): Member | undefined {
--- a/packages/peer/src/mesh.test.ts
+++ b/packages/peer/src/mesh.test.ts
@@ -8,10 +8,13 @@
 
 const clock = new SystemClock();
 /** Hosts beside the first. */
-const NAMES = Array.from({ length: 11 }, (_, index) => `h${String(index + 1).padStart(2, '0')}`);
+const HOST_NAMES = Array.from(
+  { length: 11 },
+  (_, index) => `h${String(index + 1).padStart(2, '0')}`,
+);
 const closers: (() => Promise<void>)[] = [];
 
-function openPort(): Promise<ListeningServer> {
+function listenOnFreePort(): Promise<ListeningServer> {
   return listen((_request, response) => response.end(), '127.0.0.1', 0);
 }
 
@@ -35,17 +38,17 @@
 }
 
 async function startMesh(host: string, seeds: readonly string[], fanOut = 8): Promise<PeerMesh> {
-  return startMeshAt(await openPort(), host, seeds, fanOut);
+  return startMeshAt(await listenOnFreePort(), host, seeds, fanOut);
 }
 
-function until(check: () => boolean): Promise<void> {
+function waitUntil(check: () => boolean): Promise<void> {
   return expect
     .poll(check, { timeout: 5000, interval: 10 })
     .toBe(true)
     .then(() => undefined);
 }
 
-function describeKnown(mesh: PeerMesh): string {
+function describeMembers(mesh: PeerMesh): string {
   const links = mesh.linked().map(({ host }) => host);
   const known = mesh
     .members()
@@ -54,14 +57,14 @@
 }
 
 /** Waits until each knows `count` others; a failure tells whom each knew, and how long this process stood still. */
-async function untilAllKnow(all: readonly PeerMesh[], count: number): Promise<void> {
+async function waitUntilAllKnow(all: readonly PeerMesh[], count: number): Promise<void> {
   const stalls = monitorEventLoopDelay({ resolution: 10 });
   stalls.enable();
   try {
-    await until(() => all.every((mesh) => mesh.members().length === count));
+    await waitUntil(() => all.every((mesh) => mesh.members().length === count));
   } catch (error) {
     const longestMs = String(Math.round(stalls.max / 1e6));
-    const known = all.map(describeKnown).join('\n');
+    const known = all.map(describeMembers).join('\n');
     throw new Error(`longest stall ${longestMs} ms\n${known}`, { cause: error });
   } finally {
     stalls.disable();
@@ -78,21 +81,21 @@
     const seeds = [first.settings.self.peerUrl];
     const others = await Promise.all(['h2', 'h3', 'h4'].map((host) => startMesh(host, seeds)));
     const all = [first, ...others];
-    await until(() => all.every((mesh) => mesh.linked().length === 3));
-    const got: string[] = [];
+    await waitUntil(() => all.every((mesh) => mesh.linked().length === 3));
+    const received: string[] = [];
     for (const mesh of others) {
-      mesh.on('word', z.string(), (from, word) => got.push(`${from.host}:${word}`));
+      mesh.on('word', z.string(), (from, word) => received.push(`${from.host}:${word}`));
     }
     first.broadcast('word', 'hello');
-    await until(() => got.length === 3);
-    expect(new Set(got)).toEqual(new Set(['h1:hello']));
+    await waitUntil(() => received.length === 3);
+    expect(new Set(received)).toEqual(new Set(['h1:hello']));
   });
 
   it('does not connect all to all when there are many', async () => {
     const first = await startMesh('h00', [], 2);
     const seeds = [first.settings.self.peerUrl];
-    const others = await Promise.all(NAMES.map((host) => startMesh(host, seeds, 2)));
-    await untilAllKnow(others, 11);
+    const others = await Promise.all(HOST_NAMES.map((host) => startMesh(host, seeds, 2)));
+    await waitUntilAllKnow(others, 11);
     const links = [first, ...others].reduce((sum, mesh) => sum + mesh.linked().length, 0);
     expect(links).toBeLessThan(12 * 11);
   });
@@ -100,12 +103,15 @@
   it('has all know each other again after a stall in which each removed all others', async () => {
     const first = await startMesh('h00', [], 2);
     const seeds = [first.settings.self.peerUrl];
-    const all = [first, ...(await Promise.all(NAMES.map((host) => startMesh(host, seeds, 2))))];
-    await untilAllKnow(all, 11);
+    const all = [
+      first,
+      ...(await Promise.all(HOST_NAMES.map((host) => startMesh(host, seeds, 2)))),
+    ];
+    await waitUntilAllKnow(all, 11);
     const untilMs = performance.now() + 800;
     while (performance.now() < untilMs);
     for (const mesh of all) mesh.members();
-    await untilAllKnow(all, 11);
+    await waitUntilAllKnow(all, 11);
   });
 
   /*
@@ -113,23 +119,29 @@
    * as it wants asked no seed, so hosts that are linked among themselves and have lost all others stayed apart for ever.
    */
   it('has hosts that are full with links among themselves find a seed that they do not know', async () => {
-    const port = await openPort();
+    const port = await listenOnFreePort();
     const seed = port.url.replace('http:', 'ws:');
-    const one = await startMesh('h01', [seed], 2);
-    const own = [seed, one.settings.self.peerUrl];
-    const apart = [one, await startMesh('h02', own, 2), await startMesh('h03', own, 2)];
-    await until(() => apart.every((mesh) => mesh.linked().length === 2));
+    const firstIsolated = await startMesh('h01', [seed], 2);
+    const seedsOfIsolated = [seed, firstIsolated.settings.self.peerUrl];
+    const isolated = [
+      firstIsolated,
+      await startMesh('h02', seedsOfIsolated, 2),
+      await startMesh('h03', seedsOfIsolated, 2),
+    ];
+    await waitUntil(() => isolated.every((mesh) => mesh.linked().length === 2));
     const first = startMeshAt(port, 'h00', [], 2);
     const late = [await startMesh('h04', [seed], 2), await startMesh('h05', [seed], 2)];
-    await until(() => [first, ...apart, ...late].every((mesh) => mesh.members().length === 5));
+    await waitUntil(() =>
+      [first, ...isolated, ...late].every((mesh) => mesh.members().length === 5),
+    );
   });
 
   it('suspects a silent host, then removes it', async () => {
     const first = await startMesh('h1', []);
     const second = await startMesh('h2', [first.settings.self.peerUrl]);
-    await until(() => first.linked().length === 1);
+    await waitUntil(() => first.linked().length === 1);
     second.stop();
-    await until(() => first.members()[0]?.state === 'suspect');
-    await until(() => first.members().length === 0);
+    await waitUntil(() => first.members()[0]?.state === 'suspect');
+    await waitUntil(() => first.members().length === 0);
   });
 });
--- a/packages/peer/src/mesh.ts
+++ b/packages/peer/src/mesh.ts
@@ -27,18 +27,18 @@
   member: Member | undefined;
 }
 
-type Handler = (from: Member, body: unknown) => void;
+type MessageHandler = (from: Member, body: unknown) => void;
 
 const MAX_BUFFERED_BYTES = 4_000_000;
 const MAX_MESSAGE_BYTES = 16_000_000;
-const HEARTBEAT = 'heartbeat';
+const HEARTBEAT_KIND = 'heartbeat';
 /**
  * A host with as many links as it wants asks a seed that it does not know this often: hosts that are linked among
  * themselves and have lost all others would stay apart for ever.
  */
-const SEED_PERIOD_BEATS = 60;
+const SEED_DIAL_PERIOD_HEARTBEATS = 60;
 /** Members that one heartbeat brings news of. */
-const NEWS_COUNT = 4;
+const GOSSIP_PER_HEARTBEAT = 4;
 
 /**
  * Connections between hosts. Each host dials a few members in rendezvous order, so that a small
@@ -48,12 +48,12 @@
   readonly membership: Membership;
   readonly traffic: LinkTraffic = { bytesIn: 0, bytesOut: 0, messagesIn: 0, messagesOut: 0 };
   readonly #links = new Set<Link>();
-  readonly #handlers = new Map<string, Handler>();
-  readonly #dialling = new Set<string>();
+  readonly #handlers = new Map<string, MessageHandler>();
+  readonly #urlsBeingDialled = new Set<string>();
   readonly #server: WebSocketServer;
   #cancelTimer: CancelTimer | undefined;
   #isStopped = false;
-  #beat = 0;
+  #heartbeatNumber = 0;
   /** Called when a member's link has opened. */
   onPeerConnected: (member: Member) => void = () => undefined;
 
@@ -67,9 +67,9 @@
     this.#server.on('connection', (socket) => {
       this.#attach(socket, false);
     });
-    this.on(HEARTBEAT, heartbeatSchema, (from, { beat, news }) => {
+    this.on(HEARTBEAT_KIND, heartbeatSchema, (from, { beat, news }) => {
       this.membership.recordContact(from, beat);
-      for (const one of news) this.membership.recordGossip(one);
+      for (const entry of news) this.membership.recordGossip(entry);
     });
   }
 
@@ -127,40 +127,40 @@
   }
 
   #tick(): void {
-    this.#beat += 1;
+    this.#heartbeatNumber += 1;
     for (const { host } of this.linked()) {
-      const news = this.membership.nextGossip(host, NEWS_COUNT);
-      this.send(host, HEARTBEAT, { beat: this.#beat, news });
+      const news = this.membership.nextGossip(host, GOSSIP_PER_HEARTBEAT);
+      this.send(host, HEARTBEAT_KIND, { beat: this.#heartbeatNumber, news });
     }
     const linkedUrls = new Set(this.linked().map((member) => member.peerUrl));
-    for (const url of this.#wantedUrls()) {
-      if (!linkedUrls.has(url) && !this.#dialling.has(url)) this.#dial(url);
+    for (const url of this.#urlsToDial()) {
+      if (!linkedUrls.has(url) && !this.#urlsBeingDialled.has(url)) this.#dial(url);
     }
   }
 
-  #wantedUrls(): readonly string[] {
+  #urlsToDial(): readonly string[] {
     const members = this.membership.list().map(({ member }) => member);
-    const chosen = rendezvousOrder(this.settings.self.host, members, (member) => member.host)
+    const preferredUrls = rendezvousOrder(this.settings.self.host, members, (member) => member.host)
       .slice(0, this.settings.fanOut)
       .map((member) => member.peerUrl);
     const known = new Set(members.map((member) => member.peerUrl));
     const isFull = this.linked().length >= this.settings.fanOut;
-    const asksNoSeed = isFull && this.#beat % SEED_PERIOD_BEATS !== 0;
-    const seeds = asksNoSeed ? [] : this.settings.seeds.filter((url) => !known.has(url));
-    return [...chosen, ...seeds].filter((url) => url !== this.settings.self.peerUrl);
+    const skipsSeeds = isFull && this.#heartbeatNumber % SEED_DIAL_PERIOD_HEARTBEATS !== 0;
+    const seeds = skipsSeeds ? [] : this.settings.seeds.filter((url) => !known.has(url));
+    return [...preferredUrls, ...seeds].filter((url) => url !== this.settings.self.peerUrl);
   }
 
   #dial(url: string): void {
-    this.#dialling.add(url);
+    this.#urlsBeingDialled.add(url);
     const socket = new WebSocket(url, {
       handshakeTimeout: this.settings.suspectAfterMs,
       maxPayload: MAX_MESSAGE_BYTES,
     });
     socket.once('open', () => {
-      this.#dialling.delete(url);
+      this.#urlsBeingDialled.delete(url);
     });
     socket.once('close', () => {
-      this.#dialling.delete(url);
+      this.#urlsBeingDialled.delete(url);
     });
     this.#attach(socket, true);
   }
@@ -168,13 +168,13 @@
   #attach(socket: WebSocket, isDialled: boolean): void {
     const link: Link = { socket, isDialled, member: undefined };
     this.#links.add(link);
-    const sayHello = () => {
-      const self = { member: this.settings.self, beat: this.#beat };
+    const sendHello = () => {
+      const self = { member: this.settings.self, beat: this.#heartbeatNumber };
       const hello = { self, others: this.membership.allGossip() };
       sendMessage(socket, hello, MAX_BUFFERED_BYTES, this.traffic);
     };
-    if (isDialled) socket.once('open', sayHello);
-    else sayHello();
+    if (isDialled) socket.once('open', sendHello);
+    else sendHello();
     socket.on('message', (data) => {
       this.#receive(link, readMessage(data, this.traffic));
     });
@@ -184,13 +184,13 @@
 
   #receive(link: Link, message: unknown): void {
     if (this.#isStopped) return;
-    if (!link.member) return this.#greet(link, message);
+    if (!link.member) return this.#handleHello(link, message);
     this.membership.recordContact(link.member, 0);
     const envelope = envelopeSchema.safeParse(message);
     if (envelope.success) this.#handlers.get(envelope.data.kind)?.(link.member, envelope.data.body);
   }
 
-  #greet(link: Link, message: unknown): void {
+  #handleHello(link: Link, message: unknown): void {
     const hello = helloSchema.safeParse(message);
     if (!hello.success) {
       link.socket.terminate();
@@ -199,7 +199,7 @@
     const { member, beat } = hello.data.self;
     this.membership.recordContact(member, beat);
     for (const news of hello.data.others) this.membership.recordGossip(news);
-    if (this.#isDoubled(link, member)) {
+    if (this.#isDuplicate(link, member)) {
       link.socket.close();
       return;
     }
@@ -208,15 +208,15 @@
   }
 
   /** Of two links to one run of a host, the one that the lesser name dialled stays. */
-  #isDoubled(link: Link, member: Member): boolean {
-    const isOurs = this.settings.self.host < member.host;
+  #isDuplicate(link: Link, member: Member): boolean {
+    const isDialledBySelf = this.settings.self.host < member.host;
     for (const other of this.#links) {
       if (other === link || other.member?.host !== member.host) continue;
       if (other.member.incarnation !== member.incarnation) {
         other.socket.terminate();
         continue;
       }
-      if (other.socket.readyState === WebSocket.OPEN) return link.isDialled !== isOurs;
+      if (other.socket.readyState === WebSocket.OPEN) return link.isDialled !== isDialledBySelf;
     }
     return false;
   }
--- a/packages/settings/src/program.ts
+++ b/packages/settings/src/program.ts
@@ -35,17 +35,17 @@
   };
 }
 
-function isFlag(schema: z.ZodType): boolean {
+function isBooleanSchema(schema: z.ZodType): boolean {
   return schema.safeParse(true).success && schema.safeParse('yes').success;
 }
 
-function optionFor(schema: z.ZodType, flag: string, description: string): unknown {
-  return isFlag(schema)
+function createOption(schema: z.ZodType, flag: string, description: string): unknown {
+  return isBooleanSchema(schema)
     ? Option.Boolean(flag, { description })
     : Option.String(flag, { description });
 }
 
-function toClipanion(binary: string, command: ProgramCommand) {
+function createClipanionCommand(binary: string, command: ProgramCommand) {
   const settings = describeSettings(command.shape);
   return class extends Command {
     static override paths = [command.path.length > 0 ? [...command.path] : Command.Default];
@@ -58,7 +58,7 @@
       super();
       for (const { key, flag, env, help } of settings) {
         const schema = command.shape[key];
-        if (schema) Object.assign(this, { [key]: optionFor(schema, flag, `${help} [${env}]`) });
+        if (schema) Object.assign(this, { [key]: createOption(schema, flag, `${help} [${env}]`) });
       }
     }
 
@@ -72,7 +72,7 @@
   };
 }
 
-function oneLine(error: unknown): string {
+function firstLineOf(error: unknown): string {
   const text = error instanceof Error ? error.message : String(error);
   const line = text
     .split('\n')
@@ -95,7 +95,7 @@
   return unknown === undefined ? undefined : `${unknown}: unknown setting`;
 }
 
-function isUsageProblem(error: unknown): boolean {
+function isUsageError(error: unknown): boolean {
   return error instanceof Error && (error instanceof UsageError || 'clipanion' in error);
 }
 
@@ -110,7 +110,7 @@
 ): Promise<void> {
   const cli = new Cli({ binaryName: binary, binaryLabel: binary, enableCapture: false });
   cli.register(Builtins.HelpCommand);
-  for (const command of commands) cli.register(toClipanion(binary, command));
+  for (const command of commands) cli.register(createClipanionCommand(binary, command));
   const known = new Set(
     commands.flatMap((command) => describeSettings(command.shape).map(({ env }) => env)),
   );
@@ -120,8 +120,8 @@
     const command = cli.process([...args], Cli.defaultContext);
     process.exitCode = await cli.run(command, Cli.defaultContext);
   } catch (error) {
-    const prefix = isUsageProblem(error) ? '' : 'failed: ';
-    process.stderr.write(`${binary}: ${prefix}${oneLine(error)}\n`);
-    process.exitCode = isUsageProblem(error) ? EXIT_BAD_SETTINGS : 1;
+    const prefix = isUsageError(error) ? '' : 'failed: ';
+    process.stderr.write(`${binary}: ${prefix}${firstLineOf(error)}\n`);
+    process.exitCode = isUsageError(error) ? EXIT_BAD_SETTINGS : 1;
   }
 }
--- a/packages/settings/src/schemas.ts
+++ b/packages/settings/src/schemas.ts
@@ -9,7 +9,7 @@
 export const millisecondsSetting = z.coerce.number<string>().positive();
 
 /** Longer than any process lives; timers count no further than 24 days. */
-const LONGEST_DURATION_MS = 24 * 60 * 60 * 1000;
+const MAX_DURATION_MS = 24 * 60 * 60 * 1000;
 
 /**
  * A duration in milliseconds that an installation sets: fractions and zero are taken, and what is
@@ -18,7 +18,7 @@
 export const cappedDurationSetting = z.coerce
   .number<string>()
   .nonnegative()
-  .transform((ms) => Math.min(ms, LONGEST_DURATION_MS));
+  .transform((ms) => Math.min(ms, MAX_DURATION_MS));
 
 /** A number, zero or more. */
 export const numberSetting = z.coerce.number<string>().nonnegative();
--- a/packages/settings/src/settings.ts
+++ b/packages/settings/src/settings.ts
@@ -35,7 +35,7 @@
   });
 }
 
-function firstProblem(error: z.ZodError, settings: readonly SettingHelp[]): string {
+function formatFirstIssue(error: z.ZodError, settings: readonly SettingHelp[]): string {
   const issue = error.issues[0];
   const key = String(issue?.path[0]);
   const setting = settings.find((candidate) => candidate.key === key);
@@ -43,7 +43,7 @@
   return `${name}: ${issue?.message ?? 'invalid'}`;
 }
 
-function readFileOf(
+function readConfiguredFile(
   settings: readonly SettingHelp[],
   flags: Readonly<Record<string, unknown>>,
   environment: Readonly<Record<string, string | undefined>>,
@@ -64,13 +64,13 @@
   environment: Readonly<Record<string, string | undefined>>,
 ): Result<z.infer<z.ZodObject<Shape>>, string> {
   const settings = describeSettings(shape);
-  const file = readFileOf(settings, flags, environment);
+  const file = readConfiguredFile(settings, flags, environment);
   if (file.isErr) return Result.err(file.error);
   const valueOf = ({ key, env }: SettingHelp) => flags[key] ?? environment[env] ?? file.value[key];
-  const given = settings.map((setting) => [setting.key, valueOf(setting)] as const);
-  const present = given.filter(([, value]) => value !== undefined);
+  const entries = settings.map((setting) => [setting.key, valueOf(setting)] as const);
+  const present = entries.filter(([, value]) => value !== undefined);
   const parsed = z.object(shape).safeParse(Object.fromEntries(present));
-  if (!parsed.success) return Result.err(firstProblem(parsed.error, settings));
+  if (!parsed.success) return Result.err(formatFirstIssue(parsed.error, settings));
   return Result.ok(parsed.data);
 }
 
--- a/packages/telemetry/src/bounded-output.test.ts
+++ b/packages/telemetry/src/bounded-output.test.ts
@@ -2,7 +2,7 @@
 import { describe, expect, it } from 'vitest';
 import { BoundedOutput } from './bounded-output.js';
 
-const droppedLine = (counts: Readonly<Record<string, number>>) =>
+const formatDroppedLine = (counts: Readonly<Record<string, number>>) =>
   `dropped=${JSON.stringify(counts)}\n`;
 
 describe('BoundedOutput', () => {
@@ -15,7 +15,7 @@
         written.push(text);
         done();
       },
-      droppedLine,
+      formatDroppedLine,
       { linesPerSecond: 10, bufferedCharacters: 1000 },
     );
     for (let index = 0; index < 20; index += 1) output.writeLine('o\n', 'ordinary');
@@ -35,7 +35,7 @@
       () => {
         writes += 1;
       },
-      droppedLine,
+      formatDroppedLine,
       { linesPerSecond: 1000, bufferedCharacters: 100 },
     );
     for (let second = 0; second < 50; second += 1) {
--- a/packages/telemetry/src/bounded-output.ts
+++ b/packages/telemetry/src/bounded-output.ts
@@ -23,7 +23,7 @@
 
 const REPORT_PERIOD_MS: Milliseconds = 1000;
 /** Lines of several requests go out in one write. */
-const GATHER_MS: Milliseconds = 20;
+const BATCH_DELAY_MS: Milliseconds = 20;
 /** Share of each limit that ordinary lines may use. */
 const ORDINARY_SHARE = 0.7;
 const STANDARD_OUTPUT = 1;
@@ -49,11 +49,11 @@
 
 /** Passes lines on within limits; never blocks and never grows without bound. */
 export class BoundedOutput {
-  #waiting: string[] = [];
-  #waitingCharacters = 0;
+  #pendingLines: string[] = [];
+  #pendingCharacters = 0;
   #isWriting = false;
-  #isGathering = false;
-  #linesThisSecond = 0;
+  #isFlushScheduled = false;
+  #linesThisPeriod = 0;
   #onIdle: (() => void) | undefined;
   readonly #dropped = new Map<LineImportance, number>();
 
@@ -61,26 +61,26 @@
     readonly clock: Clock,
     readonly write: OutputWrite,
     /** Makes the line that tells how many were dropped in the last second. */
-    readonly droppedLine: (counts: Readonly<Record<string, number>>) => string,
+    readonly formatDroppedLine: (counts: Readonly<Record<string, number>>) => string,
     readonly limits: OutputLimits = DEFAULT_OUTPUT_LIMITS,
   ) {
     clock.every(REPORT_PERIOD_MS, () => {
-      this.#endSecond();
+      this.#startNextPeriod();
     });
   }
 
   /** Takes a line, or drops and counts it. */
   writeLine(text: string, importance: LineImportance): void {
     const share = importance === 'ordinary' ? ORDINARY_SHARE : 1;
-    const isOver =
-      this.#linesThisSecond >= this.limits.linesPerSecond * share ||
-      this.#waitingCharacters + text.length > this.limits.bufferedCharacters * share;
-    if (isOver) {
+    const exceedsLimits =
+      this.#linesThisPeriod >= this.limits.linesPerSecond * share ||
+      this.#pendingCharacters + text.length > this.limits.bufferedCharacters * share;
+    if (exceedsLimits) {
       this.#dropped.set(importance, (this.#dropped.get(importance) ?? 0) + 1);
       return;
     }
-    this.#linesThisSecond += 1;
-    this.#add(text);
+    this.#linesThisPeriod += 1;
+    this.#enqueue(text);
   }
 
   /** Resolves when everything is written, or after `limitMs` with a reader that stopped. */
@@ -93,34 +93,34 @@
     });
   }
 
-  #add(text: string): void {
-    this.#waiting.push(text);
-    this.#waitingCharacters += text.length;
-    if (this.#isGathering || this.#isWriting) return;
-    this.#isGathering = true;
-    this.clock.after(GATHER_MS, () => {
-      this.#isGathering = false;
+  #enqueue(text: string): void {
+    this.#pendingLines.push(text);
+    this.#pendingCharacters += text.length;
+    if (this.#isFlushScheduled || this.#isWriting) return;
+    this.#isFlushScheduled = true;
+    this.clock.after(BATCH_DELAY_MS, () => {
+      this.#isFlushScheduled = false;
       this.#flush();
     });
   }
 
   #flush(): void {
-    if (this.#isWriting || this.#waiting.length === 0) return;
-    const text = this.#waiting.join('');
-    this.#waiting = [];
+    if (this.#isWriting || this.#pendingLines.length === 0) return;
+    const text = this.#pendingLines.join('');
+    this.#pendingLines = [];
     this.#isWriting = true;
     this.write(text, () => {
       this.#isWriting = false;
-      this.#waitingCharacters -= text.length;
-      if (this.#waiting.length > 0) this.#flush();
+      this.#pendingCharacters -= text.length;
+      if (this.#pendingLines.length > 0) this.#flush();
       else this.#onIdle?.();
     });
   }
 
-  #endSecond(): void {
-    this.#linesThisSecond = 0;
+  #startNextPeriod(): void {
+    this.#linesThisPeriod = 0;
     if (this.#dropped.size === 0) return;
-    this.#add(this.droppedLine(Object.fromEntries(this.#dropped)));
+    this.#enqueue(this.formatDroppedLine(Object.fromEntries(this.#dropped)));
     this.#dropped.clear();
   }
 }
--- a/packages/telemetry/src/log.ts
+++ b/packages/telemetry/src/log.ts
@@ -23,7 +23,7 @@
   return name !== undefined && name in TSLOG_LEVELS;
 }
 
-function valueText(value: string | number | boolean): string {
+function formatValue(value: string | number | boolean): string {
   const text = String(value);
   return /^[\w.:/@+-]+$/.test(text) ? text : JSON.stringify(text);
 }
@@ -32,7 +32,7 @@
 export function formatFields(fields: LogFields): string {
   const parts: string[] = [];
   for (const [key, value] of Object.entries(fields)) {
-    if (value !== undefined) parts.push(`${key}=${valueText(value)}`);
+    if (value !== undefined) parts.push(`${key}=${formatValue(value)}`);
   }
   return parts.join(' ');
 }
@@ -52,8 +52,8 @@
   logger.attachTransport((entry) => {
     const { _meta, ...fields } = entry;
     const name = _meta?.logLevelName.toLowerCase();
-    const head = { time: _meta?.date.toISOString(), level: name };
-    write(`${formatFields({ ...head, ...fields })}\n`, isLogLevel(name) ? name : 'info');
+    const header = { time: _meta?.date.toISOString(), level: name };
+    write(`${formatFields({ ...header, ...fields })}\n`, isLogLevel(name) ? name : 'info');
   });
   const line = (event: string, fields: LogFields = {}) => ({ event, ...common, ...fields });
   return {
--- a/packages/telemetry/src/measures.test.ts
+++ b/packages/telemetry/src/measures.test.ts
@@ -2,7 +2,7 @@
 import { describe, expect, it } from 'vitest';
 import { PrometheusMetrics, PROMETHEUS_METRICS } from './measures.js';
 
-function relaySources(): string {
+function readRelaySources(): string {
   const folder = new URL('../../relay/src/', import.meta.url);
   return readdirSync(folder, { recursive: true, encoding: 'utf8' })
     .filter((name) => name.endsWith('.ts') && !name.endsWith('.test.ts'))
@@ -12,7 +12,7 @@
 
 describe('Measures', () => {
   it('are all taken by the relay and listed in docs/METRICS.md', () => {
-    const sources = relaySources();
+    const sources = readRelaySources();
     const page = readFileSync(new URL('../../../docs/METRICS.md', import.meta.url), 'utf8');
     for (const [name, { type, help, labels }] of Object.entries(PROMETHEUS_METRICS)) {
       expect(sources, name).toContain(`'${name}'`);
@@ -22,11 +22,11 @@
   });
 
   it('are told as Prometheus text', async () => {
-    const measures = new PrometheusMetrics();
-    measures.count('poppypond_requests_total', { kind: 'safe', code: 'ok' });
-    measures.observe('poppypond_call_milliseconds', 7, { kind: 'safe' });
-    measures.set('poppypond_peers', 3);
-    const text = await measures.text();
+    const metrics = new PrometheusMetrics();
+    metrics.count('poppypond_requests_total', { kind: 'safe', code: 'ok' });
+    metrics.observe('poppypond_call_milliseconds', 7, { kind: 'safe' });
+    metrics.set('poppypond_peers', 3);
+    const text = await metrics.text();
     expect(text).toContain('poppypond_requests_total{kind="safe",code="ok"} 1');
     expect(text).toContain('poppypond_call_milliseconds_bucket{le="10",kind="safe"} 1');
     expect(text).toContain('poppypond_peers 3');
--- a/packages/telemetry/src/measures.ts
+++ b/packages/telemetry/src/measures.ts
@@ -1,6 +1,6 @@
 import { Counter, Gauge, Histogram, Registry } from 'prom-client';
 
-interface MeasureEntry {
+interface PrometheusMetricEntry {
   readonly type: 'counter' | 'gauge' | 'histogram';
   readonly help: string;
   readonly labels: readonly string[];
@@ -120,9 +120,9 @@
     labels: ['kind'],
   },
   poppypond_peers: { type: 'gauge', help: 'Other hosts heard from lately.', labels: [] },
-} as const satisfies Record<string, MeasureEntry>;
+} as const satisfies Record<string, PrometheusMetricEntry>;
 
-type MeasuresOf<Type extends MeasureEntry['type']> = {
+type MetricNamesOf<Type extends PrometheusMetricEntry['type']> = {
   [Name in keyof typeof PROMETHEUS_METRICS]: (typeof PROMETHEUS_METRICS)[Name]['type'] extends Type
     ? Name
     : never;
@@ -150,23 +150,23 @@
     }
   }
 
-  count(name: MeasuresOf<'counter'>, labels: PrometheusLabels, by = 1): void {
+  count(name: MetricNamesOf<'counter'>, labels: PrometheusLabels, by = 1): void {
     this.#counters.get(name)?.inc({ ...labels }, by);
   }
 
-  set(name: MeasuresOf<'gauge'>, value: number): void {
+  set(name: MetricNamesOf<'gauge'>, value: number): void {
     this.#gauges.get(name)?.set(value);
   }
 
   /** Sets a gauge for each value of its one label, and drops all others. */
-  replaceSeries(name: MeasuresOf<'gauge'>, values: ReadonlyMap<string, number>): void {
+  replaceSeries(name: MetricNamesOf<'gauge'>, values: ReadonlyMap<string, number>): void {
     const gauge = this.#gauges.get(name);
     const [label = ''] = PROMETHEUS_METRICS[name].labels;
     gauge?.reset();
-    for (const [labelled, value] of values) gauge?.set({ [label]: labelled }, value);
+    for (const [labelValue, value] of values) gauge?.set({ [label]: labelValue }, value);
   }
 
-  observe(name: MeasuresOf<'histogram'>, milliseconds: number, labels: PrometheusLabels): void {
+  observe(name: MetricNamesOf<'histogram'>, milliseconds: number, labels: PrometheusLabels): void {
     this.#histograms.get(name)?.observe({ ...labels }, milliseconds);
   }
 
--- a/packages/web/src/bearer-key.ts
+++ b/packages/web/src/bearer-key.ts
@@ -1,11 +1,11 @@
 import { createHash } from 'node:crypto';
 import type { IncomingMessage } from 'node:http';
 
-const BEARER = /^Bearer (\S+)$/;
+const BEARER_PATTERN = /^Bearer (\S+)$/;
 
 /** The key in the `Authorization` header. */
 export function bearerKey(request: IncomingMessage): string | undefined {
-  return BEARER.exec(request.headers.authorization ?? '')?.[1];
+  return BEARER_PATTERN.exec(request.headers.authorization ?? '')?.[1];
 }
 
 /** SHA-256 of a key in hexadecimal, as key and operator objects hold it. */
--- a/packages/web/src/body.ts
+++ b/packages/web/src/body.ts
@@ -7,7 +7,7 @@
 /** Reads a whole body of at most `limitBytes` within `timeoutMs`. */
 export function readBody(
   request: IncomingMessage,
-  limitBytes: number,
+  maxBytes: number,
   timeoutMs: Milliseconds,
 ): Promise<Result<Buffer, Fault>> {
   return new Promise((resolve) => {
@@ -20,12 +20,12 @@
     };
     const onData = (chunk: Buffer) => {
       length += chunk.length;
-      if (length <= limitBytes) {
+      if (length <= maxBytes) {
         chunks.push(chunk);
         return;
       }
       request.resume();
-      finish(Result.err(fault('body_too_large', `over ${String(limitBytes)} bytes`)));
+      finish(Result.err(fault('body_too_large', `over ${String(maxBytes)} bytes`)));
     };
     const timer = setTimeout(() => {
       finish(Result.err(fault('caller_slow', `no whole body in ${String(timeoutMs)} ms`)));
--- a/packages/web/src/client.ts
+++ b/packages/web/src/client.ts
@@ -37,12 +37,12 @@
 
 const MAX_SOCKETS = 512;
 /** Shorter than a server of ours keeps an idle connection. */
-const IDLE_MS = 30_000;
+const IDLE_TIMEOUT_MS = 30_000;
 const AGENT_OPTIONS = {
   keepAlive: true,
   maxSockets: MAX_SOCKETS,
   scheduling: 'lifo',
-  timeout: IDLE_MS,
+  timeout: IDLE_TIMEOUT_MS,
 } as const;
 const agent = new Agent(AGENT_OPTIONS);
 /** Trusts what Node trusts; `NODE_EXTRA_CA_CERTS` adds the operators' own authority. */
@@ -80,8 +80,8 @@
       return isConnected ? 'closed' : 'connect';
     };
     outgoing.once('socket', (socket) => {
-      const connected = isTls ? 'secureConnect' : 'connect';
-      if (socket.connecting) socket.once(connected, () => (isConnected = true));
+      const connectEvent = isTls ? 'secureConnect' : 'connect';
+      if (socket.connecting) socket.once(connectEvent, () => (isConnected = true));
       else isConnected = true;
     });
     outgoing.once('response', (response) => {
--- a/packages/web/src/retry-after.ts
+++ b/packages/web/src/retry-after.ts
@@ -2,17 +2,17 @@
 import type { IncomingHttpHeaders } from 'node:http';
 
 const MS_PER_SECOND = 1000;
-const SECONDS = /^\d+(\.\d+)?$/;
+const SECONDS_PATTERN = /^\d+(\.\d+)?$/;
 /** Dates of HTTP begin with a day of the week; what else can be read as a date is none here. */
-const DATE = /^(Mon|Tue|Wed|Thu|Fri|Sat|Sun)[a-z]*,? /;
+const DATE_PATTERN = /^(Mon|Tue|Wed|Thu|Fri|Sat|Sun)[a-z]*,? /;
 
-function dateOf(text: string | undefined): Milliseconds | undefined {
-  if (text === undefined || !DATE.test(text)) return undefined;
+function parseHttpDate(text: string | undefined): Milliseconds | undefined {
+  if (text === undefined || !DATE_PATTERN.test(text)) return undefined;
   const atMs = Date.parse(text);
   return Number.isNaN(atMs) ? undefined : atMs;
 }
 
-function positive(durationMs: Milliseconds): Milliseconds | undefined {
+function positiveOrUndefined(durationMs: Milliseconds): Milliseconds | undefined {
   return durationMs > 0 ? durationMs : undefined;
 }
 
@@ -27,7 +27,9 @@
 ): Milliseconds | undefined {
   const text = headers['retry-after']?.trim();
   if (text === undefined) return undefined;
-  if (SECONDS.test(text)) return positive(Number(text) * MS_PER_SECOND);
-  const untilMs = dateOf(text);
-  return untilMs === undefined ? undefined : positive(untilMs - (dateOf(headers.date) ?? nowMs));
+  if (SECONDS_PATTERN.test(text)) return positiveOrUndefined(Number(text) * MS_PER_SECOND);
+  const untilMs = parseHttpDate(text);
+  return untilMs === undefined
+    ? undefined
+    : positiveOrUndefined(untilMs - (parseHttpDate(headers.date) ?? nowMs));
 }
--- a/packages/web/src/server-state.ts
+++ b/packages/web/src/server-state.ts
@@ -11,7 +11,7 @@
 export type ProbeResult = 'listening' | 'refused' | 'silent';
 
 /** A server that is full takes a connection and resets it; that may be heard before the connection is. */
-function stateByError(code: string | undefined): ProbeResult {
+function resultOfError(code: string | undefined): ProbeResult {
   if (code === 'ECONNREFUSED') return 'refused';
   return code === 'ECONNRESET' ? 'listening' : 'silent';
 }
@@ -27,18 +27,18 @@
   return new Promise((resolve) => {
     const socket = connect({ host: server.address, port: server.port });
     const end = (state: ProbeResult) => {
-      cancelLimit();
+      cancelTimeout();
       socket.destroy();
       resolve(state);
     };
-    const cancelLimit = clock.after(CONNECT_TIMEOUT_MS, () => {
+    const cancelTimeout = clock.after(CONNECT_TIMEOUT_MS, () => {
       end('silent');
     });
     socket.once('connect', () => {
       end('listening');
     });
     socket.on('error', ({ code }: NodeJS.ErrnoException) => {
-      end(stateByError(code));
+      end(resultOfError(code));
     });
   });
 }
--- a/packages/web/src/server.test.ts
+++ b/packages/web/src/server.test.ts
@@ -18,14 +18,14 @@
   await server?.close();
 });
 
-function install(name: 'first' | 'second'): void {
+function installCertificate(name: 'first' | 'second'): void {
   const from = (file: string) => new URL(`./mocks/${name}-${file}.pem`, import.meta.url);
   copyFileSync(from('certificate'), files.certificateFile);
   copyFileSync(from('key'), files.keyFile);
 }
 
 /** The common name of the certificate that the server shows now. */
-function shownName(port: number): Promise<string> {
+function readCertificateName(port: number): Promise<string> {
   return new Promise((resolve, reject) => {
     const socket = connect({ port, host: '127.0.0.1', rejectUnauthorized: false }, () => {
       resolve(String(socket.getPeerCertificate().subject.CN));
@@ -37,17 +37,17 @@
 
 describe('listen with TLS', () => {
   it('takes a renewed certificate into use without a restart', async () => {
-    install('first');
+    installCertificate('first');
     server = await listen((_request, response) => response.end('{}'), '127.0.0.1', 0, files);
     const { port } = server;
     expect(server.url).toBe(`https://127.0.0.1:${String(port)}`);
-    expect(await shownName(port)).toBe('first');
-    install('second');
-    await expect.poll(() => shownName(port), { timeout: 10_000 }).toBe('second');
+    expect(await readCertificateName(port)).toBe('first');
+    installCertificate('second');
+    await expect.poll(() => readCertificateName(port), { timeout: 10_000 }).toBe('second');
   });
 
   it('is not trusted by a client that does not know its authority, and nothing is sent', async () => {
-    install('first');
+    installCertificate('first');
     let requests = 0;
     server = await listen(
       (_request, response) => {
--- a/packages/web/src/server.ts
+++ b/packages/web/src/server.ts
@@ -7,8 +7,8 @@
 const MAX_HEADER_BYTES = 16_384;
 const HEADERS_TIMEOUT_MS = 10_000;
 /** Longer than any of our clients keeps an idle connection, so that none is closed under a call. */
-const KEEP_ALIVE_MS = 75_000;
-const TLS_RELOAD_MS = 2000;
+const KEEP_ALIVE_TIMEOUT_MS = 75_000;
+const TLS_RELOAD_PERIOD_MS = 2000;
 
 /** Files in PEM form; read again when they change, so that a renewal needs no restart. */
 export interface TlsFiles {
@@ -42,12 +42,12 @@
     } catch {
       // Half of a renewal may be written; the next look sees all of it.
     }
-  }, TLS_RELOAD_MS);
+  }, TLS_RELOAD_PERIOD_MS);
   timer.unref();
   return timer;
 }
 
-function createAnyServer(listener: RequestListener, tls: TlsFiles | undefined) {
+function createHttpOrTlsServer(listener: RequestListener, tls: TlsFiles | undefined) {
   const options = { maxHeaderSize: MAX_HEADER_BYTES };
   if (!tls) return createServer(options, listener);
   const server = createTlsServer({ ...options, ...readTls(tls) }, listener);
@@ -65,10 +65,10 @@
   port: number,
   tls?: TlsFiles,
 ): Promise<ListeningServer> {
-  const server = createAnyServer(listener, tls);
+  const server = createHttpOrTlsServer(listener, tls);
   server.headersTimeout = HEADERS_TIMEOUT_MS;
   server.requestTimeout = 0;
-  server.keepAliveTimeout = KEEP_ALIVE_MS;
+  server.keepAliveTimeout = KEEP_ALIVE_TIMEOUT_MS;
   return new Promise((resolve, reject) => {
     server.once('error', reject);
     server.listen(port, address, () => {
