--- a/packages/core/src/boot-clock.ts
+++ b/packages/core/src/boot-clock.ts
@@ -1,8 +1,8 @@
 import type { Milliseconds } from './clock.js';
 
-/** `CLOCK_BOOTTIME` of Linux: it counts the time for which the machine was suspended. */
+/** Linux `CLOCK_BOOTTIME`, which also advances while the host is suspended. */
 const CLOCK_BOOTTIME = 7;
-/** Seconds and nanoseconds, 64 bits each. */
+/** Size of a `struct timespec`: seconds and nanoseconds of 64 bits each. */
 const TIMESPEC_BYTES = 16;
 const NANOSECONDS_OFFSET = 8;
 const MS_PER_SECOND = 1000;
@@ -11,19 +11,20 @@
 let read: (() => Milliseconds) | undefined;
 
 /**
- * The system's clock that counts suspended time, since the machine's start; undefined before it was loaded.
- * Node has none: its `os.uptime()` reads a file of 10 ms steps, opened anew each time.
+ * Returns the time since the host booted, including the time for which it was suspended, or undefined until
+ * `loadBootClock` has succeeded. Node has no such clock: `os.uptime()` has a resolution of 10 ms and opens a
+ * file on each call.
  */
 export function readBootClock(): Milliseconds | undefined {
   return read?.();
 }
 
 /**
- * Loads the library that can call the system's C library: 3 ms of a host's start and 2 MB, so it is not waited
- * for. Resolves with the reason where there is no such clock; suspensions are not seen then.
+ * Loads the native library that calls the C library. This takes 3 ms and 2 MB, so the start of a host does not wait
+ * for it. Resolves to the reason if the clock is not available; suspensions are not detected then.
  */
 export async function loadBootClock(): Promise<string | undefined> {
-  if (process.platform !== 'linux') return `no such clock on ${process.platform}`;
+  if (process.platform !== 'linux') return `CLOCK_BOOTTIME is not available on ${process.platform}`;
   try {
     const { default: koffi } = await import('koffi');
     const getTime = koffi.load(null).func('int clock_gettime(int clock, _Out_ uint8_t *time)');
--- a/packages/core/src/clock.test.ts
+++ b/packages/core/src/clock.test.ts
@@ -2,17 +2,17 @@
 import { SystemClock } from './clock.js';
 
 /*
- * What users saw: nothing yet. A host may be suspended for seconds, with all that runs on it. Its steady clock
- * stands still meanwhile, and it wakes with all that it believed before: keys that were removed since still
- * count, a configuration that was replaced is the newest, a host that others took over from plans on, and
- * what callers are still to be given is longer by the time that it slept.
+ * A host may be suspended for seconds together with all of its processes. The steady clock does not advance
+ * meanwhile, so the host would continue with expired state: it would accept keys that were removed since, take a
+ * replaced configuration for the newest, go on planning after other hosts took over, and extend the deadlines of
+ * its callers by the time of the suspension.
  *
- * Evidence: every lease, age and limit of a host rests on `Clock.monotonicMs`, and that on a clock that does
- * not count the time; the time of day does, but it is also set forward and back by seconds without any
- * suspension, so that alone it proves nothing.
+ * All leases, ages and timeouts of a host use `Clock.monotonicMs`, so this clock has to count the suspended time.
+ * The wall clock counts it, but it is also set forward and back by seconds without a suspension, so it does not
+ * prove a suspension by itself.
  */
 
-/** A machine whose clocks go on in virtual time. */
+/** A host with clocks in virtual time that can be suspended. */
 class SuspendableHost {
   suspendedMs = 0;
   wallStepMs = 0;
@@ -22,7 +22,7 @@
     bootMs: () => performance.now() + this.suspendedMs,
   });
 
-  /** It sleeps; nothing that runs on it notices. */
+  /** Suspends the host: its steady clock and timers do not advance. */
   suspend(forMs: number): void {
     this.suspendedMs += forMs;
   }
@@ -37,7 +37,7 @@
 });
 
 describe('SystemClock', () => {
-  it('counts the time for which its machine was suspended, at the first look after it, and no step of the time of day', () => {
+  it('counts the time of a suspension from the first reading after it, and no steps of the wall clock', () => {
     const host = new SuspendableHost();
     const beforeMs = host.clock.monotonicMs();
     vi.advanceTimersByTime(100);
@@ -46,7 +46,7 @@
     host.suspend(300);
     vi.advanceTimersByTime(50);
     expect(host.clock.monotonicMs()).toBe(beforeMs + 4450);
-    // A step of the time of day is none, alone or together with one.
+    // A step of the wall clock does not count, alone or together with a suspension.
     host.wallStepMs = 5000;
     expect(host.clock.monotonicMs()).toBe(beforeMs + 4450);
     host.wallStepMs = -2000;
@@ -54,7 +54,7 @@
     host.suspend(3000);
     host.wallStepMs = 2500;
     expect(host.clock.monotonicMs()).toBe(beforeMs + 7450);
-    // One that a step hides is seen within a second.
+    // A suspension that is hidden by a step is detected within a second.
     const cancel = host.clock.every(500, () => undefined);
     host.suspend(3000);
     host.wallStepMs = -500;
@@ -63,7 +63,7 @@
     cancel();
   });
 
-  it('calls at once what was due while its machine was suspended, and the rest in time', () => {
+  it('runs timers that came due during a suspension at once, and the others on time', () => {
     const host = new SuspendableHost();
     const called: string[] = [];
     host.clock.monotonicMs();
--- a/packages/core/src/clock.ts
+++ b/packages/core/src/clock.ts
@@ -7,9 +7,9 @@
 export type CancelTimer = () => void;
 
 /**
- * The one source of time. `monotonicMs` never goes back and is used for every limit;
- * `wallMs` is Unix time and is used only for records that people read and for rows
- * whose age another host must judge.
+ * The only source of time. `monotonicMs` never goes back and is used for all timeouts, leases and ages.
+ * `wallMs` is Unix time and is used only for records that people read and for rows whose age another host
+ * must judge.
  */
 export interface Clock {
   monotonicMs(): Milliseconds;
@@ -22,13 +22,13 @@
 
 /** The clocks of the operating system. */
 export interface ClockSources {
-  /** Never goes back, and stands still while the machine is suspended. */
+  /** Never goes back, and does not advance while the host is suspended. */
   readonly steadyMs: () => Milliseconds;
-  /** The time of day: may be set forward and back. */
+  /** Unix time, which may be set forward and back. */
   readonly wallMs: () => Milliseconds;
   /**
-   * Never goes back, and counts the time for which the machine was suspended; undefined where it can't be
-   * read, or not yet.
+   * Never goes back, and advances while the host is suspended. Returns undefined if the clock cannot be read, or
+   * not yet.
    */
   readonly bootMs: () => Milliseconds | undefined;
 }
@@ -39,11 +39,11 @@
   bootMs: readBootClock,
 };
 
-/** Two clocks that are read one after the other differ by less while the machine is awake. */
+/** Upper bound of the difference between two clocks that are read one after the other without a suspension. */
 const CLOCK_NOISE_MS: Milliseconds = 20;
 /**
- * A step of the time of day at the same moment can hide a suspension from it, so the clock that counts
- * suspended time, which costs 1.6 us to read, ten times as much, is read this often anyway.
+ * The boot clock is read at least this often, because a simultaneous step of the wall clock can hide a suspension.
+ * It is not read each time, because a read takes 1.6 us, ten times as long as one of the wall clock.
  */
 const BOOT_CLOCK_CHECK_PERIOD_MS: Milliseconds = 500;
 
@@ -54,17 +54,17 @@
 }
 
 /**
- * The operating system's clock. The steady clock stands still while the machine is suspended, and a lease that
- * was measured by it would hold for as much longer as the machine slept; so the time is added that only the
- * other clocks count. The time of day tells at each look that there may be some, and as it is also set, the
- * clock that counts suspended time tells how much.
+ * The clock of the operating system. The steady clock does not advance while the host is suspended, so a lease
+ * measured by it would last longer by the time of the suspension. `monotonicMs` therefore adds the suspended time.
+ * A changed offset between the wall clock and the steady clock indicates a possible suspension. As the wall clock
+ * can also be set, the boot clock determines how long the suspension was.
  */
 export class SystemClock implements Clock {
   readonly #timers = new Set<Timer>();
   #suspendedMs: Milliseconds = 0;
-  /** How far the time of day is ahead of the steady clock. */
+  /** How far the wall clock is ahead of the steady clock. */
   #wallOffsetMs: Milliseconds;
-  /** How far the clock that counts suspended time was ahead of the steady clock when first read. */
+  /** How far the boot clock was ahead of the steady clock when it was first read. */
   #bootOffsetMs: Milliseconds | undefined;
   #checkedAtMs: Milliseconds;
 
@@ -125,7 +125,10 @@
     this.#rescheduleTimers();
   }
 
-  /** A process that is stopped between two readings must not take that for a suspension. */
+  /**
+   * Returns undefined if the boot clock is not available, or if reading it took too long: a process that is stopped
+   * between two reads must not mistake this for a suspension.
+   */
   #readBootOffset(): Milliseconds | undefined {
     const { steadyMs, bootMs } = this.sources;
     const beforeMs = steadyMs();
@@ -134,7 +137,7 @@
     return readMs === undefined || tookMs > CLOCK_NOISE_MS ? undefined : readMs - beforeMs;
   }
 
-  /** The system's timers did not run either. */
+  /** Reschedules all timers, as the timers of the operating system do not advance during a suspension either. */
   #rescheduleTimers(): void {
     const nowMs = this.sources.steadyMs() + this.#suspendedMs;
     for (const timer of this.#timers) {
@@ -146,7 +149,7 @@
   }
 }
 
-/** `every` by a clock's own `after`, for clocks that have nothing better. */
+/** Implements `Clock.every` with the clock's `after`, for clocks without periodic timers. */
 export function repeatUsingAfter(
   clock: Pick<Clock, 'after'>,
   periodMs: Milliseconds,
@@ -165,7 +168,7 @@
   };
 }
 
-/** Resolves after `delayMs` of `clock`. */
+/** Resolves after `delayMs` on `clock`. */
 export function delay(clock: Clock, delayMs: Milliseconds): Promise<void> {
   return new Promise((resolve) => {
     clock.after(delayMs, resolve);
--- a/packages/core/src/identifiers.ts
+++ b/packages/core/src/identifiers.ts
@@ -2,7 +2,7 @@
 
 /**
  * One run of one process on a host. A restarted process has a new incarnation,
- * so that what the old one held can be told from what the new one holds.
+ * which distinguishes leases and reservations of the old run from those of the new one.
  */
 export interface Owner {
   readonly host: string;
@@ -11,22 +11,22 @@
 
 const RANDOM_BYTES = 6;
 
-/** A short random identifier, 48 bits as hexadecimal. */
+/** Returns a random identifier of 48 bits, in hexadecimal. */
 export function randomId(): string {
   return randomBytes(RANDOM_BYTES).toString('hex');
 }
 
-/** A new owner for this run of the process. */
+/** Creates the owner for this run of the process. */
 export function newOwner(host: string): Owner {
   return { host, incarnation: randomId() };
 }
 
-/** `host/incarnation`, as engines and table rows hold it. */
+/** Formats an owner as `host/incarnation`, the form that engines and table rows store. */
 export function formatOwner(owner: Owner): string {
   return `${owner.host}/${owner.incarnation}`;
 }
 
-/** Reads what `ownerText` wrote; undefined if it is not of that form. */
+/** Parses the form written by `formatOwner`. Returns undefined for any other text. */
 export function parseOwner(text: string): Owner | undefined {
   const [host, incarnation, ...rest] = text.split('/');
   if (!host || !incarnation || rest.length > 0) return undefined;
@@ -34,14 +34,14 @@
 }
 
 /**
- * A request identifier names the host that decided and the wall time in milliseconds,
- * so that its decisions can be found without an index: `HOST.TIME36.RANDOM`.
+ * Creates a request identifier, `HOST.TIME36.RANDOM`. It contains the host that decides about the request and the
+ * wall time in milliseconds (base 36), so that the decisions can be found without an index.
  */
 export function newRequestId(host: string, wallMs: number): string {
   return `${host}.${Math.floor(wallMs).toString(36)}.${randomId()}`;
 }
 
-/** The host and wall time in a request identifier; undefined if it is not one. */
+/** Returns the host and wall time of a request identifier, or undefined if the text is not one. */
 export function parseRequestId(
   id: string,
 ): { readonly host: string; readonly wallMs: number } | undefined {
--- a/packages/core/src/json.ts
+++ b/packages/core/src/json.ts
@@ -1,8 +1,8 @@
-/** A value that JSON can hold. */
+/** A value that can be represented in JSON. */
 export type Json =
   string | number | boolean | null | readonly Json[] | { readonly [key: string]: Json | undefined };
 
-/** Parses JSON to `unknown`; undefined when the text is not JSON. */
+/** Parses JSON. Returns undefined if the text is not valid JSON. */
 export function parseJson(text: string): unknown {
   try {
     const value: unknown = JSON.parse(text);
--- a/packages/core/src/labels.ts
+++ b/packages/core/src/labels.ts
@@ -1,2 +1,2 @@
-/** Labels of an object or of a request: key to value, both plain text. */
+/** Labels of an object or a request, by key; keys and values are plain text. */
 export type Labels = Readonly<Record<string, string>>;
--- a/packages/core/src/result-codes.test.ts
+++ b/packages/core/src/result-codes.test.ts
@@ -11,7 +11,7 @@
 ] as const;
 
 describe('result codes', () => {
-  it('are listed in docs/RESULT-CODES.md as they are', () => {
+  it('match the table in docs/RESULT-CODES.md', () => {
     const page = readFileSync(new URL('../../../docs/RESULT-CODES.md', import.meta.url), 'utf8');
     const rows = page.split('\n').filter((line) => /^\| \d/.test(line));
     const cells = rows.map((row) =>
@@ -30,7 +30,7 @@
     expect(cells).toEqual(expected);
   });
 
-  it('have one number each, and one outcome for each range', () => {
+  it('have unique numbers and one outcome per range', () => {
     const codes = Object.values(RESULT_CODES);
     expect(new Set(codes.map((code) => code.number)).size).toBe(codes.length);
     for (const [outcome, from] of OUTCOME_BY_RANGE) {
@@ -41,7 +41,7 @@
 });
 
 describe('identifiers', () => {
-  it('can be read back', () => {
+  it('are parsed back to the values that they were formatted from', () => {
     const owner = newOwner('host-1');
     expect(parseOwner(formatOwner(owner))).toEqual(owner);
     expect(parseRequestId(newRequestId('host-1', 1_796_213_661_452))).toEqual({
--- a/packages/core/src/result-codes.ts
+++ b/packages/core/src/result-codes.ts
@@ -1,6 +1,6 @@
 /**
- * What is known about a call that did not return a whole answer.
- * `not_run`: no backend server ran any part of it. `ran`: it ran, but its answer is not whole.
+ * Whether a call was executed. `ok`: the complete answer was delivered.
+ * `not_run`: no backend server ran any part of it. `ran`: it ran, but its answer is not complete.
  * `unknown`: a backend server may have run it.
  */
 export type Outcome = 'ok' | 'not_run' | 'ran' | 'unknown';
@@ -13,9 +13,9 @@
 }
 
 /**
- * Every result that a caller or an operator can be told.
- * Ranges: 1000 the call is wrong, 2000 refused for now, 3000 ran but failed,
- * 4000 outcome unknown, 5000 the operators' API. The outcome is fixed by the code.
+ * All results that are returned to callers and operators.
+ * Ranges of numbers: 1000 invalid call, 2000 refused for now, 3000 ran but failed,
+ * 4000 outcome unknown, 5000 operators' API. Each code has a fixed outcome.
  */
 export const RESULT_CODES = {
   ok: { number: 0, httpStatus: 200, outcome: 'ok', meaning: 'The whole answer was delivered.' },
@@ -278,20 +278,20 @@
 /** The name of a result code, e.g. `queue_full`. */
 export type ResultName = keyof typeof RESULT_CODES;
 
-/** Why a call did not return a whole answer. */
+/** Why a call did not return a complete answer. */
 export interface Fault {
   readonly code: ResultName;
   /** For people; programs read `code`. */
   readonly detail: string;
-  /** When the caller may come back, from now. */
+  /** Time from now after which the caller may retry. */
   readonly retryAfterMs?: number;
-  /** The rule that decided, as `name@revision`. */
+  /** The rule that was applied, as `name@revision`. */
   readonly rule?: string;
-  /** The field, header or budget that the code is about. */
+  /** The field, header or budget that caused the fault. */
   readonly path?: string;
 }
 
-/** Makes a fault; `more` fills the optional fields. */
+/** Creates a fault; `more` sets the optional fields. */
 export function fault(
   code: ResultName,
   detail: string,
@@ -300,7 +300,7 @@
   return { code, detail, ...more };
 }
 
-/** What a fault's code says about whether the call ran. */
+/** Returns whether a call with this result was executed. */
 export function outcomeOf(code: ResultName): Outcome {
   return RESULT_CODES[code].outcome;
 }
--- a/packages/objects/src/configuration.ts
+++ b/packages/objects/src/configuration.ts
@@ -2,21 +2,21 @@
 import type { ConfigObject, ObjectKind, ObjectOf } from './kinds.js';
 import { objectId, OBJECT_KINDS } from './kinds.js';
 
-/** An object as it was accepted. */
+/** An accepted object with its revision. */
 export interface StoredObject {
   readonly object: ConfigObject;
-  /** The revision of the configuration that last changed it; also its version. */
+  /** The revision of the configuration that last changed the object; also the object's version. */
   readonly revision: number;
 }
 
-/** One accepted change of one object; `after` is null where it was deleted. */
+/** An accepted change of one object. `after` is null if the object was deleted. */
 export interface ObjectChange {
   readonly id: string;
   readonly revision: number;
   readonly after: ConfigObject | null;
 }
 
-/** An object of a known kind with its revision. */
+/** An object of a given kind with its revision. */
 export interface Versioned<Kind extends ObjectKind> {
   readonly object: ObjectOf<Kind>;
   readonly revision: number;
@@ -46,8 +46,8 @@
 }
 
 /**
- * One revision of the operators' objects, indexed for decisions.
- * Immutable: a change makes a new configuration.
+ * One revision of the operators' objects, indexed for lookup during decisions.
+ * Immutable: `advance` returns a new configuration.
  */
 export class Configuration {
   static readonly empty = new Configuration(0, new Map());
@@ -94,27 +94,30 @@
     );
   }
 
-  /** All objects of a kind, by name. */
+  /** Returns all objects of a kind. */
   list<Kind extends ObjectKind>(kind: Kind): readonly Versioned<Kind>[] {
     return [...this.#byKind[kind].values()];
   }
 
-  /** One object. */
+  /** Returns the object of this kind and name, or undefined if it does not exist. */
   get<Kind extends ObjectKind>(kind: Kind, name: string): Versioned<Kind> | undefined {
     return this.#byKind[kind].get(name);
   }
 
-  /** The key object with this SHA-256. */
+  /** Returns the key object with this SHA-256 hash. */
   findKey(sha256: string): Versioned<'key'> | undefined {
     return this.#keysByHash.get(sha256);
   }
 
-  /** The backend servers that a pool selects. */
+  /** Returns the backend servers that a pool selects. */
   poolMembers(pool: string): readonly Versioned<'backend-server'>[] {
     return this.#poolMembers.get(pool) ?? [];
   }
 
-  /** The configuration after `changes`, whose last revision becomes its revision. */
+  /**
+   * Returns the configuration after `changes`; their highest revision becomes its revision. A change that is not
+   * newer than the object's revision has no effect.
+   */
   advance(changes: readonly ObjectChange[]): Configuration {
     const objects = new Map(this.objects);
     let revision = this.revision;
@@ -128,7 +131,7 @@
     return new Configuration(revision, objects);
   }
 
-  /** All objects, ordered by kind and name. */
+  /** Returns all objects, sorted by kind and name. */
   all(): readonly StoredObject[] {
     return [...this.objects.values()].sort(
       (a, b) =>
--- a/packages/objects/src/kinds.ts
+++ b/packages/objects/src/kinds.ts
@@ -2,22 +2,22 @@
 import { labelsSchema, selectorSchema } from './selector.js';
 
 const NAME_PATTERN = /^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$/;
-const nameSchema = z.string().regex(NAME_PATTERN, 'use a-z, 0-9 and -, at most 63');
+const nameSchema = z.string().regex(NAME_PATTERN, 'use a-z, 0-9 and -, at most 63 characters');
 const positive = z.number().positive();
 const tokens = z.int().positive();
 
-/** A token budget: sustained cost units each second, and the most that can be saved up. */
+/** A token bucket: the refill rate in cost units per second, and the capacity in cost units. */
 const budgetSchema = z.strictObject({ unitsPerSecond: positive, burstUnits: positive });
 
 const poolSpec = z.strictObject({
-  /** Which backend servers belong to the pool. */
+  /** Selects the backend servers of the pool. */
   members: selectorSchema,
-  /** The share of the pool's engines that prompts larger than one engine may hold at once. */
+  /** Maximum share of the pool's engines that prompts too large for one engine may occupy at the same time. */
   groupShare: z.number().min(0).max(1).default(0.5),
   budget: budgetSchema.optional(),
-  /** Models that one engine can hold; where more are wanted, demand decides which. */
+  /** Number of models that one engine can hold. If more are configured, demand decides which are loaded. */
   modelsPerEngine: z.int().positive().default(4),
-  /** How many engines are kept for one kind of work; the rest take any. */
+  /** Number of engines reserved for short or for long work; the others accept any. */
   roles: z
     .strictObject({ short: z.int().nonnegative(), long: z.int().nonnegative() })
     .default({ short: 0, long: 0 }),
@@ -28,17 +28,17 @@
   /** `http://ADDRESS:PORT`. */
   url: z.url(),
   zone: nameSchema,
-  /** The name under `/services/`, for plain services. */
+  /** Name in the path `/services/NAME`, for plain services. */
   service: nameSchema.optional(),
-  /** Whether it refuses orders with an older fencing token. */
+  /** Whether the server refuses commands with an older fencing token. */
   checksFencing: z.boolean().default(false),
 });
 
 const workspaceSpec = z.strictObject({
   budget: budgetSchema.optional(),
-  /** The budget of each single user in the workspace. */
+  /** Budget of each user of the workspace. */
   userBudget: budgetSchema.optional(),
-  /** Share of waiting capacity against other workspaces. */
+  /** Weight of the workspace in the fair queueing between workspaces. */
   weight: positive.default(1),
 });
 
@@ -52,20 +52,20 @@
 const operatorSpec = z.strictObject({
   sha256: z.string().regex(/^[0-9a-f]{64}$/),
   role: z.enum(['viewer', 'operator', 'admin']),
-  /** Objects that the operator may change; empty means all. */
+  /** Selects the objects that the operator may change; empty means all. */
   scope: selectorSchema.default([]),
 });
 
 const requestClassSpec = z.strictObject({
-  /** Which requests belong to the class, by request labels. */
+  /** Selects the requests of the class by their labels. */
   traffic: selectorSchema,
-  /** Prompt length in tokens, inclusive. */
+  /** Bounds of the prompt length in tokens, both inclusive. */
   minPromptTokens: z.int().nonnegative().default(0),
   maxPromptTokens: tokens.optional(),
-  /** Higher runs first. */
+  /** Requests of higher priority run first. */
   priority: z.int().min(0).max(9).default(5),
   timeLimitMs: positive.default(60_000),
-  /** Calls of this class may not run twice and need an idempotency key. */
+  /** Whether calls of this class must not run twice and need an idempotency key. */
   runsAtMostOnce: z.boolean().default(false),
 });
 
@@ -73,12 +73,12 @@
   traffic: selectorSchema,
   action: z.enum(['allow', 'refuse']).default('allow'),
   pools: selectorSchema.default([]),
-  /** Decides between rules that match the same request; higher first. */
+  /** If several rules match a request, the one with the highest precedence applies. */
   precedence: z.int().min(0).max(1000).default(100),
   priority: z.int().min(0).max(9).optional(),
   maxPromptTokens: tokens.optional(),
   maxOutputTokens: tokens.optional(),
-  /** The most work that may wait under this rule on one host, in tokens. */
+  /** Maximum work that may wait under this rule on one host, in tokens. */
   maxQueuedTokens: tokens.default(4_000_000),
   maxWaitMs: positive.default(30_000),
 });
@@ -86,11 +86,11 @@
 const modelSpec = z.strictObject({
   version: z.string().min(1).max(64),
   adapters: z.array(nameSchema).max(64).default([]),
-  /** Which pools serve the model. */
+  /** Selects the pools that serve the model. */
   pools: selectorSchema,
-  /** Fewest engines that hold the model in each pool. */
+  /** Minimum number of engines that hold the model in each pool. */
   minEngines: z.int().positive().default(1),
-  /** Most engines that hold it; absent means all of the pool. */
+  /** Maximum number of engines that hold it in each pool; absent means all engines of the pool. */
   maxEngines: z.int().positive().optional(),
 });
 
@@ -103,7 +103,7 @@
   });
 }
 
-/** Any object that operators create. */
+/** Schema of all objects that operators create. */
 export const objectSchema = z.discriminatedUnion('kind', [
   envelope('pool', poolSpec),
   envelope('backend-server', backendServerSpec),
@@ -115,19 +115,19 @@
   envelope('model', modelSpec),
 ]);
 
-/** An operators' object with its defaults filled in. */
+/** A configuration object of the operators, with its defaults filled in. */
 export type ConfigObject = Readonly<z.infer<typeof objectSchema>>;
 
-/** The kind of an operators' object. */
+/** The kind of a configuration object. */
 export type ObjectKind = ConfigObject['kind'];
 
-/** The object type of one kind. */
+/** The configuration object type of one kind. */
 export type ObjectOf<Kind extends ObjectKind> = Extract<ConfigObject, { readonly kind: Kind }>;
 
-/** A token budget. */
+/** Refill rate and capacity of a token bucket. */
 export type Budget = Readonly<z.infer<typeof budgetSchema>>;
 
-/** The kinds, in the order in which they are listed. */
+/** All kinds, in the order in which objects are listed. */
 export const OBJECT_KINDS = [
   'pool',
   'backend-server',
@@ -139,12 +139,12 @@
   'model',
 ] as const satisfies readonly ObjectKind[];
 
-/** Whether `text` names a kind. */
+/** Whether `text` is the name of a kind. */
 export function isObjectKind(text: string): text is ObjectKind {
   return OBJECT_KINDS.some((kind) => kind === text);
 }
 
-/** `kind/name`, unique over all objects. */
+/** Returns `kind/name`, which is unique among all objects. */
 export function objectId(object: { readonly kind: string; readonly name: string }): string {
   return `${object.kind}/${object.name}`;
 }
--- a/packages/objects/src/objects.test.ts
+++ b/packages/objects/src/objects.test.ts
@@ -33,7 +33,7 @@
 }
 
 describe('selectors', () => {
-  it('can be written and read back', () => {
+  it('are parsed back to the value that they were formatted from', () => {
     fc.assert(
       fc.property(selector, (generated) => {
         expect(parseSelector(formatSelector(generated))).toEqual(generated);
@@ -42,7 +42,7 @@
     );
   });
 
-  it('are only called impossible when no labels meet them', () => {
+  it('are reported as unsatisfiable only if no labels match them', () => {
     const optionalValue = fc.option(value, { nil: undefined });
     fc.assert(
       fc.property(selector, optionalValue, optionalValue, optionalValue, (generated, a, b, c) => {
@@ -69,7 +69,7 @@
     },
   });
 
-  it('takes the rule of higher precedence, then of more terms, then by name', () => {
+  it('selects the rule with higher precedence, then with more terms, then by name', () => {
     const labels = { model: 'm' };
     const pick = (rules: readonly unknown[]) =>
       resolveTraffic(configurationOf(rules), { labels, promptTokens: 1 })?.rule.object.name;
@@ -78,7 +78,7 @@
     expect(pick([rule('b', 1, 1), rule('a', 1, 1)])).toBe('a');
   });
 
-  it('finds the class by length and shows it to rules as a label', () => {
+  it('selects the class by prompt length and exposes it to rules as a label', () => {
     const configuration = configurationOf([
       { kind: 'request-class', name: 'long', spec: { traffic: [], minPromptTokens: 100 } },
       {
@@ -95,7 +95,7 @@
 });
 
 describe('parseObjects', () => {
-  it('names every wrong field and takes nothing', () => {
+  it('reports every invalid field and returns no objects', () => {
     const parsed = parseObjects([
       { kind: 'workspace', name: 'ok', spec: {} },
       { kind: 'workspace', name: 'No', spec: { weight: -1, other: 1 } },
--- a/packages/objects/src/resolve.ts
+++ b/packages/objects/src/resolve.ts
@@ -2,9 +2,9 @@
 import type { Configuration, Versioned } from './configuration.js';
 import { matchesSelector } from './selector.js';
 
-/** What decides which class, rule and pools a request gets. */
+/** The properties of a request that determine its class, rule and pools. */
 export interface Traffic {
-  /** The caller's labels, the workspace's labels, and `workspace`, `user`, `model`, `service`. */
+  /** Labels of the caller and of its workspace, and the labels `workspace`, `user`, `model`, `service`. */
   readonly labels: Labels;
   readonly promptTokens: number;
 }
@@ -14,7 +14,7 @@
   readonly requestClass: Versioned<'request-class'> | undefined;
   readonly rule: Versioned<'rule'>;
   readonly pools: readonly Versioned<'pool'>[];
-  /** Rules that matched as well and came later in the order. */
+  /** Other matching rules, which come later in the order, as `name@revision`. */
   readonly passedOver: readonly string[];
 }
 
@@ -35,7 +35,7 @@
   );
 }
 
-/** The class of a request: the one with most terms, then by name. */
+/** Returns the class of a request. If several match: the one with the most selector terms, then by name. */
 export function resolveClass(
   configuration: Configuration,
   traffic: Traffic,
@@ -51,8 +51,9 @@
 }
 
 /**
- * The rule of a request. Where several match: higher precedence, then more terms, then name.
- * The label `class` holds the name of the request's class.
+ * Returns the class, rule and pools of a request, or undefined if no rule matches. If several rules match, the order
+ * is: higher precedence, then more selector terms, then name. Rules can select by the label `class`, the name of the
+ * request's class.
  */
 export function resolveTraffic(
   configuration: Configuration,
--- a/packages/objects/src/selector.ts
+++ b/packages/objects/src/selector.ts
@@ -3,13 +3,15 @@
 
 const KEY_PATTERN = /^[a-z0-9]([a-z0-9._/-]{0,61}[a-z0-9])?$/;
 
-/** A label key. */
-export const labelKeySchema = z.string().regex(KEY_PATTERN, 'not a label key');
+/** Schema of a label key. */
+export const labelKeySchema = z
+  .string()
+  .regex(KEY_PATTERN, 'not a label key: use a-z, 0-9 and . _ / -, at most 63');
 
-/** A label value; may be empty. */
+/** Schema of a label value, which may be empty. */
 export const labelValueSchema = z.string().max(128);
 
-/** Labels of an object. */
+/** Schema of the labels of an object. */
 export const labelsSchema = z.record(labelKeySchema, labelValueSchema);
 
 const termSchema = z.discriminatedUnion('operator', [
@@ -22,13 +24,13 @@
   z.strictObject({ key: labelKeySchema, operator: z.enum(['exists', 'not-exists']) }),
 ]);
 
-/** A selector: every term must hold. An empty selector matches everything. */
+/** Schema of a selector. All of its terms must hold; an empty selector matches everything. */
 export const selectorSchema = z.array(termSchema).max(32);
 
 /** One condition on one label. */
 export type SelectorTerm = Readonly<z.infer<typeof termSchema>>;
 
-/** Conditions that must all hold. */
+/** Conditions on labels that must all hold. */
 export type Selector = readonly SelectorTerm[];
 
 function matchesTerm(term: SelectorTerm, labels: Labels): boolean {
@@ -47,7 +49,7 @@
   }
 }
 
-/** Whether `labels` meet every term of `selector`. */
+/** Whether `labels` satisfy every term of `selector`. */
 export function matchesSelector(selector: Selector, labels: Labels): boolean {
   return selector.every((term) => matchesTerm(term, labels));
 }
@@ -67,7 +69,7 @@
   }
 }
 
-/** The form that `parseSelector` reads. */
+/** Formats a selector in the syntax of `parseSelector`. */
 export function formatSelector(selector: Selector): string {
   return selector.map(formatTerm).join('; ');
 }
@@ -88,8 +90,8 @@
 }
 
 /**
- * Reads a selector as operators write it, terms separated by semicolons:
- * `a=b; c in (d,e); f not-in (g); h; !i`. Undefined if a term is malformed.
+ * Parses a selector in the syntax of the operators, with terms separated by semicolons:
+ * `a=b; c in (d,e); f not-in (g); h; !i`. Returns undefined if a term is malformed.
  */
 export function parseSelector(text: string): Selector | undefined {
   const terms = text
@@ -100,7 +102,7 @@
   return parsed.success ? parsed.data : undefined;
 }
 
-/** Whether no labels at all can meet the selector, judged term by term on each key. */
+/** Whether no labels can match the selector because two of its terms on the same key contradict each other. */
 export function isUnsatisfiable(selector: Selector): boolean {
   return selector.some((term, index) =>
     selector
--- a/packages/objects/src/validate.ts
+++ b/packages/objects/src/validate.ts
@@ -7,7 +7,7 @@
 import { isUnsatisfiable, matchesSelector } from './selector.js';
 import type { Selector } from './selector.js';
 
-/** A wrong field: where it is and what is wrong. */
+/** An invalid field: its path and what is wrong with it. */
 export interface FieldProblem {
   readonly path: string;
   readonly problem: string;
@@ -20,7 +20,7 @@
   }));
 }
 
-/** Checks objects as a whole: either all are returned with defaults, or every wrong field. */
+/** Validates all objects. Returns either all of them with defaults filled in, or every invalid field. */
 export function parseObjects(
   values: readonly unknown[],
 ): Result<readonly ConfigObject[], readonly FieldProblem[]> {
@@ -80,7 +80,7 @@
   }
 }
 
-/** What an operator should look at in `objects` once `configuration` holds them. */
+/** Returns warnings for the operator about `objects`, which `configuration` already contains. */
 export function findWarnings(
   objects: readonly ConfigObject[],
   configuration: Configuration,
