--- a/packages/settings/src/program.ts
+++ b/packages/settings/src/program.ts
@@ -3,25 +3,25 @@
 import { describeSettings, findUnknownVariable, loadSettings } from './settings.js';
 import type { SettingsShape } from './settings.js';
 
-/** Exit code for a wrong command line or setting. */
+/** Exit code for an invalid command line or setting. */
 export const EXIT_BAD_SETTINGS = 2;
 
 /** One command of a program. */
 export interface ProgramCommand {
-  /** Words after the program's name; empty for its only command. */
+  /** Command words after the program's name; empty for a program with a single command. */
   readonly path: readonly string[];
   readonly description: string;
   readonly shape: SettingsShape;
-  /** Runs the command; the number is the exit code, the string says which setting is wrong. */
+  /** Runs the command. Resolves to the exit code, or to a message if a setting is invalid. */
   run(flags: Readonly<Record<string, unknown>>): Promise<number | string>;
 }
 
-/** Makes a command whose settings are checked before `main` starts. */
+/** Creates a command whose settings are validated before `main` is called. */
 export function defineCommand<Shape extends SettingsShape>(options: {
   readonly path?: readonly string[];
   readonly description: string;
   readonly shape: Shape;
-  /** The number is the exit code, the string says why it could not start with these settings. */
+  /** Resolves to the exit code, or to a message why the program cannot start with these settings. */
   readonly main: (settings: z.infer<z.ZodObject<Shape>>) => Promise<number | string>;
 }): ProgramCommand {
   return {
@@ -81,7 +81,7 @@
   return line ?? 'failed';
 }
 
-/** A flag that no command knows, as one line; undefined if there is none. */
+/** Returns a one-line error for the first flag that no command knows, or undefined if there is none. */
 function findUnknownFlag(
   args: readonly string[],
   commands: readonly ProgramCommand[],
@@ -100,8 +100,8 @@
 }
 
 /**
- * Runs a program: picks the command, checks its settings, sets the exit code.
- * A wrong command line or setting is one line on standard error and exit code 2.
+ * Runs a program: selects the command, validates its settings and sets the exit code.
+ * For an invalid command line or setting, prints one line to standard error and sets exit code 2.
  */
 export async function runProgram(
   binary: string,
--- a/packages/settings/src/settings-file.ts
+++ b/packages/settings/src/settings-file.ts
@@ -15,7 +15,7 @@
   try {
     const parsed = fileSchema.safeParse(JSON.parse(readFileSync(path, 'utf8')));
     if (parsed.success) return Result.ok(parsed.data);
-    return Result.err('the settings file holds no JSON object');
+    return Result.err('the settings file does not contain a JSON object');
   } catch (error) {
     const detail = error instanceof Error ? error.message : String(error);
     return Result.err(`the settings file can't be read: ${detail.split('\n')[0] ?? ''}`);
--- a/packages/settings/src/settings.test.ts
+++ b/packages/settings/src/settings.test.ts
@@ -13,7 +13,7 @@
 };
 
 describe('loadSettings', () => {
-  it('takes the flag, else the variable, else the default', () => {
+  it('uses the flag, then the environment variable, then the default', () => {
     const environment = { POPPYPOND_LISTEN_PORT: '1', POPPYPOND_PEERS: 'a, b' };
     const loaded = loadSettings(shape, { listenPort: '2', useLanes: false }, environment);
     expect(loaded.isOk && loaded.value).toEqual({
@@ -24,7 +24,7 @@
     expect(loadSettings(shape, {}, {}).isOk).toBe(true);
   });
 
-  it('takes a settings file below flags and variables, ignores unknown keys, names wrong ones', () => {
+  it('prefers flags and variables to a settings file, ignores its unknown keys and names invalid ones', () => {
     const withFile = { ...shape, settings: z.string().optional() };
     const path = join(mkdtempSync(join(tmpdir(), 'settings-')), 'local.json');
     writeFileSync(path, JSON.stringify({ listenPort: 5, useLanes: false, unknown: { a: 1 } }));
@@ -39,7 +39,7 @@
     expect(broken.isErr && broken.error).toMatch(/^the settings file can't be read: .+$/);
   });
 
-  it('names the wrong setting in one line', () => {
+  it('names the invalid setting in one line', () => {
     const loaded = loadSettings(shape, {}, { POPPYPOND_LISTEN_PORT: '99999' });
     expect(loaded.isErr && loaded.error).toMatch(/^--listen-port \(POPPYPOND_LISTEN_PORT\): /);
     const known = new Set(describeSettings(shape).map(({ env }) => env));
--- a/packages/settings/src/settings.ts
+++ b/packages/settings/src/settings.ts
@@ -8,12 +8,12 @@
 /** A settings schema: one key for each setting, in camel case, with `.describe()` as its help. */
 export type SettingsShape = Readonly<Record<string, z.ZodType>>;
 
-/** How one setting is given and explained. */
+/** The names and the help text of one setting. */
 export interface SettingHelp {
   readonly key: string;
-  /** `--listen-port`. */
+  /** Command line flag, e.g. `--listen-port`. */
   readonly flag: string;
-  /** `POPPYPOND_LISTEN_PORT`. */
+  /** Environment variable, e.g. `POPPYPOND_LISTEN_PORT`. */
   readonly env: string;
   readonly help: string;
 }
@@ -22,7 +22,7 @@
   return key.split(/(?=[A-Z])/).map((word) => word.toLowerCase());
 }
 
-/** Lists the settings of a schema. */
+/** Returns the names and help texts of the settings in a schema. */
 export function describeSettings(shape: SettingsShape): readonly SettingHelp[] {
   return Object.entries(shape).map(([key, schema]) => {
     const words = splitWords(key);
@@ -54,9 +54,9 @@
 }
 
 /**
- * Checks settings. A flag wins over the environment variable, which wins over the settings file
- * of a program that takes one, which wins over the default. The error is one line that names the
- * setting.
+ * Validates settings. A flag takes precedence over the environment variable, which takes precedence
+ * over the settings file (if the program supports one), which takes precedence over the default.
+ * The error is one line that names the setting.
  */
 export function loadSettings<Shape extends SettingsShape>(
   shape: Shape,
@@ -74,7 +74,7 @@
   return Result.ok(parsed.data);
 }
 
-/** An unknown `POPPYPOND_` variable, as one line; undefined if there is none. */
+/** Returns a one-line error for the first unknown `POPPYPOND_` variable, or undefined if there is none. */
 export function findUnknownVariable(
   known: ReadonlySet<string>,
   environment: Readonly<Record<string, string | undefined>>,
--- a/packages/telemetry/src/bounded-output.test.ts
+++ b/packages/telemetry/src/bounded-output.test.ts
@@ -6,7 +6,7 @@
   `dropped=${JSON.stringify(counts)}\n`;
 
 describe('BoundedOutput', () => {
-  it('keeps important lines when ordinary ones are over the limit, and counts what it drops', async () => {
+  it('keeps important lines if ordinary ones exceed the limit, and counts dropped lines', async () => {
     const clock = new ManualClock();
     const written: string[] = [];
     const output = new BoundedOutput(
@@ -27,7 +27,7 @@
     expect(text).toContain('dropped={"ordinary":13,"important":2}');
   });
 
-  it('goes on without growing when the reader has stopped', async () => {
+  it('does not block or grow if the reader has stalled', async () => {
     const clock = new ManualClock();
     let writes = 0;
     const output = new BoundedOutput(
--- a/packages/telemetry/src/bounded-output.ts
+++ b/packages/telemetry/src/bounded-output.ts
@@ -1,34 +1,34 @@
 import type { Clock, Milliseconds } from '@poppypond/core';
 import { write as writeDescriptor } from 'node:fs';
 
-/** Writes `text` somewhere and calls back when it is taken, or could not be. */
+/** Writes `text` and calls `done` when the text was written or the write has failed. */
 export type OutputWrite = (text: string, done: () => void) => void;
 
-/** Lines about requests that failed or were refused, and changes of belief, are dropped last. */
+/** Importance of a line. Failed or refused requests and state changes are important and dropped last. */
 export type LineImportance = 'ordinary' | 'important';
 
-/** How much may be written and kept. */
+/** Limits on the rate of the output and on its buffer. */
 export interface OutputLimits {
-  /** Lines a second; more are dropped and counted. */
+  /** Maximum lines per second; more are dropped and counted. */
   readonly linesPerSecond: number;
-  /** Characters that wait for a slow reader; more are dropped and counted. */
+  /** Maximum characters buffered for a slow reader; more are dropped and counted. */
   readonly bufferedCharacters: number;
 }
 
-/** Enough for three lines of each of 200 requests a second. */
+/** Sufficient for three lines for each of 200 requests per second. */
 export const DEFAULT_OUTPUT_LIMITS: OutputLimits = {
   linesPerSecond: 600,
   bufferedCharacters: 512 * 1024,
 };
 
 const REPORT_PERIOD_MS: Milliseconds = 1000;
-/** Lines of several requests go out in one write. */
+/** Lines are collected for this long, so that those of several requests go out in one write. */
 const BATCH_DELAY_MS: Milliseconds = 20;
-/** Share of each limit that ordinary lines may use. */
+/** Fraction of each limit that ordinary lines may use. */
 const ORDINARY_SHARE = 0.7;
 const STANDARD_OUTPUT = 1;
 
-/** Writes to standard output from the thread pool, so that a reader that stopped blocks nothing. */
+/** Writes to standard output from the thread pool, so that a stalled reader does not block the event loop. */
 export const writeStandardOutput: OutputWrite = (text, done) => {
   const bytes = Buffer.from(text, 'utf8');
   const writeFrom = (offset: number): void => {
@@ -47,7 +47,7 @@
   writeFrom(0);
 };
 
-/** Passes lines on within limits; never blocks and never grows without bound. */
+/** Forwards lines within limits. Never blocks, and uses a bounded amount of memory. */
 export class BoundedOutput {
   #pendingLines: string[] = [];
   #pendingCharacters = 0;
@@ -60,7 +60,7 @@
   constructor(
     readonly clock: Clock,
     readonly write: OutputWrite,
-    /** Makes the line that tells how many were dropped in the last second. */
+    /** Formats the line that reports how many lines of each importance were dropped in the last second. */
     readonly formatDroppedLine: (counts: Readonly<Record<string, number>>) => string,
     readonly limits: OutputLimits = DEFAULT_OUTPUT_LIMITS,
   ) {
@@ -69,7 +69,7 @@
     });
   }
 
-  /** Takes a line, or drops and counts it. */
+  /** Queues a line, or drops and counts it if a limit is exceeded. */
   writeLine(text: string, importance: LineImportance): void {
     const share = importance === 'ordinary' ? ORDINARY_SHARE : 1;
     const exceedsLimits =
@@ -83,13 +83,13 @@
     this.#enqueue(text);
   }
 
-  /** Resolves when everything is written, or after `limitMs` with a reader that stopped. */
-  drain(limitMs: Milliseconds): Promise<void> {
+  /** Resolves when all lines are written, or after `timeoutMs` if the reader has stalled. */
+  drain(timeoutMs: Milliseconds): Promise<void> {
     this.#flush();
     if (!this.#isWriting) return Promise.resolve();
     return new Promise((resolve) => {
       this.#onIdle = resolve;
-      this.clock.after(limitMs, resolve);
+      this.clock.after(timeoutMs, resolve);
     });
   }
 
--- a/packages/telemetry/src/log.ts
+++ b/packages/telemetry/src/log.ts
@@ -1,9 +1,9 @@
 import { Logger } from 'tslog';
 
-/** A value of one key in a log line. */
+/** The value of a field in a log line. */
 export type LogValue = string | number | boolean | undefined;
 
-/** The keys of a log line besides `time`, `level`, `event` and those of the program. */
+/** Fields of a log line besides `time`, `level`, `event` and the common fields of the program. */
 export type LogFields = Readonly<Record<string, LogValue>>;
 
 /** Writes one line of key=value pairs for each event. */
@@ -16,7 +16,7 @@
 
 const TSLOG_LEVELS = { debug: 2, info: 3, warn: 4, error: 5 } as const;
 
-/** The levels a log can be set to, least important first. */
+/** The levels of a log, least severe first. */
 export type LogLevel = keyof typeof TSLOG_LEVELS;
 
 function isLogLevel(name: string | undefined): name is LogLevel {
@@ -28,7 +28,7 @@
   return /^[\w.:/@+-]+$/.test(text) ? text : JSON.stringify(text);
 }
 
-/** `key=value` pairs with quotes where a value holds anything but plain characters. */
+/** Formats `key=value` pairs. Values with other characters than letters, digits and `_ . : / @ + -` are quoted. */
 export function formatFields(fields: LogFields): string {
   const parts: string[] = [];
   for (const [key, value] of Object.entries(fields)) {
@@ -37,7 +37,7 @@
   return parts.join(' ');
 }
 
-/** A log whose lines all carry `common`, written to standard error unless `write` is given. */
+/** Creates a log that adds `common` to each line. Lines go to standard error unless `write` is given. */
 export function createLog(
   common: LogFields,
   level: LogLevel = 'info',
@@ -46,7 +46,7 @@
   const logger = new Logger<LogFields>({
     type: 'hidden',
     minLevel: TSLOG_LEVELS[level],
-    // Finding the caller's line takes a stack trace for each line.
+    // The position of the log call would need a stack trace for each line.
     hideLogPositionForProduction: true,
   });
   logger.attachTransport((entry) => {
--- a/packages/telemetry/src/measures.test.ts
+++ b/packages/telemetry/src/measures.test.ts
@@ -10,8 +10,8 @@
     .join('\n');
 }
 
-describe('Measures', () => {
-  it('are all taken by the relay and listed in docs/METRICS.md', () => {
+describe('PrometheusMetrics', () => {
+  it('are all used by the relay and listed in docs/METRICS.md', () => {
     const sources = readRelaySources();
     const page = readFileSync(new URL('../../../docs/METRICS.md', import.meta.url), 'utf8');
     for (const [name, { type, help, labels }] of Object.entries(PROMETHEUS_METRICS)) {
@@ -21,7 +21,7 @@
     }
   });
 
-  it('are told as Prometheus text', async () => {
+  it('are returned in the Prometheus text format', async () => {
     const metrics = new PrometheusMetrics();
     metrics.count('poppypond_requests_total', { kind: 'safe', code: 'ok' });
     metrics.observe('poppypond_call_milliseconds', 7, { kind: 'safe' });
--- a/packages/telemetry/src/measures.ts
+++ b/packages/telemetry/src/measures.ts
@@ -6,7 +6,7 @@
   readonly labels: readonly string[];
 }
 
-/** What a relay counts, for its metrics address. Names and labels are stable; docs/METRICS.md. */
+/** The metrics of a relay, served on its metrics port. Names and labels are stable; see docs/METRICS.md. */
 export const PROMETHEUS_METRICS = {
   poppypond_requests_total: {
     type: 'counter',
@@ -131,10 +131,13 @@
 /** Label values by label name. */
 export type PrometheusLabels = Readonly<Record<string, string>>;
 
-/** Milliseconds; the figures of today's objectives are bounds, so that shares can be read off. */
+/**
+ * Upper bounds in milliseconds. They include the values of the latency objectives, so that the share of requests
+ * within an objective can be read from a bucket.
+ */
 const BUCKETS_MS = [5, 10, 25, 50, 100, 150, 200, 300, 500, 800, 1500, 3000, 5000, 10_000, 15_000];
 
-/** Counts and measures of one process, read as Prometheus text. */
+/** Prometheus metrics of one process. */
 export class PrometheusMetrics {
   readonly #registry = new Registry();
   readonly #counters = new Map<string, Counter>();
@@ -158,7 +161,7 @@
     this.#gauges.get(name)?.set(value);
   }
 
-  /** Sets a gauge for each value of its one label, and drops all others. */
+  /** Sets a gauge for each value of its only label, and removes its other series. */
   replaceSeries(name: MetricNamesOf<'gauge'>, values: ReadonlyMap<string, number>): void {
     const gauge = this.#gauges.get(name);
     const [label = ''] = PROMETHEUS_METRICS[name].labels;
@@ -170,7 +173,7 @@
     this.#histograms.get(name)?.observe({ ...labels }, milliseconds);
   }
 
-  /** All of them in the Prometheus text format. */
+  /** Returns all metrics in the Prometheus text format. */
   text(): Promise<string> {
     return this.#registry.metrics();
   }
--- a/packages/telemetry/src/metrics.ts
+++ b/packages/telemetry/src/metrics.ts
@@ -5,7 +5,7 @@
   readonly meaning: string;
 }
 
-/** Every metric, sent to StatsD with the prefix `poppypond.`; times are in milliseconds. */
+/** The metrics that are sent to StatsD, with the prefix `poppypond.`. Times are in milliseconds. */
 export const METRICS = {
   'requests.done': { type: 'counter', meaning: 'Requests answered, tagged with the result code.' },
   'requests.first_token': {
@@ -52,7 +52,7 @@
 /** Metric tags. */
 export type MetricTags = Readonly<Record<string, string>>;
 
-/** Sends metrics; never throws and never waits. */
+/** Sends metrics to StatsD. Never throws and never blocks. */
 export interface Metrics {
   count(name: MetricName, value?: number, tags?: MetricTags): void;
   gauge(name: MetricName, value: number): void;
@@ -60,7 +60,7 @@
   close(): void;
 }
 
-/** Metrics to the StatsD address `HOST:PORT`; with no address nothing is sent. */
+/** Creates metrics that are sent to the StatsD address `HOST:PORT`, or discarded if there is no address. */
 export function createMetrics(address: string | undefined, tags: MetricTags): Metrics {
   const [host, port] = address?.split(':') ?? [];
   const client = new StatsD({
@@ -88,7 +88,7 @@
   };
 }
 
-/** Metrics that go nowhere. */
+/** Discards all metrics. */
 export const silentMetrics: Metrics = {
   count: () => undefined,
   gauge: () => undefined,
--- a/packages/telemetry/src/telemetry.test.ts
+++ b/packages/telemetry/src/telemetry.test.ts
@@ -4,7 +4,7 @@
 import { METRICS } from './metrics.js';
 
 describe('log', () => {
-  it('writes one line of key=value pairs for each event, and only from its level on', () => {
+  it('writes one line of key=value pairs for each event, and only at its level or above', () => {
     const lines: string[] = [];
     const log = createLog({ program: 'gateway' }, 'info', (line) => lines.push(line));
     log.debug('hidden');
@@ -24,7 +24,7 @@
 }
 
 describe('docs/METRICS.md', () => {
-  it('lists only what a program sends', () => {
+  it('lists only metrics that a program sends', () => {
     const programs = ['gateway', 'controller'];
     const sources = programs.map((name) =>
       readSources(new URL(`../../${name}/src/`, import.meta.url)),
