--- a/packages/hashing/src/chat-prompt.ts
+++ b/packages/hashing/src/chat-prompt.ts
@@ -4,7 +4,7 @@
   readonly content: string;
 }
 
-/** The prompt text that chat messages amount to. */
+/** Returns the prompt text for chat messages. */
 export function chatPrompt(messages: readonly ChatMessage[]): string {
   return messages.map((message) => `${message.role}: ${message.content}\n`).join('');
 }
--- a/packages/hashing/src/prefix-chain.ts
+++ b/packages/hashing/src/prefix-chain.ts
@@ -2,7 +2,7 @@
 
 const { h64 } = await xxhash();
 
-/** Characters that count as one token where nothing better is known. */
+/** Characters per token, for estimates without a tokenizer. */
 export const CHARACTERS_PER_TOKEN = 4;
 
 /** Tokens in one block of the prefix cache. */
@@ -10,17 +10,17 @@
 
 const BLOCK_CHARACTERS = BLOCK_TOKENS * CHARACTERS_PER_TOKEN;
 
-/** The chain value before the first block. */
+/** The chain hash before the first block. */
 export const CHAIN_START = 0n;
 
-/** An estimate of the tokens in `text`, by its length alone. */
+/** Estimates the number of tokens in `text` from its length alone. */
 export function estimateTokens(text: string): number {
   return Math.ceil(text.length / CHARACTERS_PER_TOKEN);
 }
 
 /**
- * The chain values after each whole block of `text`, at most `maxBlocks` of them.
- * Two prompts share their first n blocks exactly when they share the n-th value.
+ * Returns the chain hash after each complete block of `text`, for at most `maxBlocks` blocks.
+ * Two prompts have the same first n blocks exactly if their n-th hashes are equal.
  */
 export function hashBlocks(
   text: string,
@@ -38,7 +38,7 @@
   return values;
 }
 
-/** The chain value after all of `text`, its last part block included. */
+/** Returns the chain hash after all of `text`, including an incomplete last block. */
 export function hashText(text: string, start: bigint = CHAIN_START): bigint {
   const blocks = hashBlocks(text, Number.POSITIVE_INFINITY, start);
   const remainder = text.slice(blocks.length * BLOCK_CHARACTERS);
@@ -46,12 +46,15 @@
   return remainder.length > 0 ? h64(remainder, value) : value;
 }
 
-/** A chain value as 16 hexadecimal digits. */
+/** Formats a chain hash as 16 hexadecimal digits. */
 export function formatChainHash(value: bigint): string {
   return value.toString(16).padStart(16, '0');
 }
 
-/** Cuts `text` into parts of at most `maxTokens` tokens, each but the last a whole number of blocks. */
+/**
+ * Splits `text` into parts of at most `maxTokens` tokens, but at least one block. Each part except the last is a
+ * whole number of blocks.
+ */
 export function splitAtBlocks(text: string, maxTokens: number): readonly string[] {
   const blocks = Math.max(1, Math.floor(maxTokens / BLOCK_TOKENS));
   const characters = blocks * BLOCK_CHARACTERS;
--- a/packages/hashing/src/rendezvous.ts
+++ b/packages/hashing/src/rendezvous.ts
@@ -14,8 +14,8 @@
 }
 
 /**
- * Items in rendezvous order for `key`: the same on every host, and when an item comes or goes
- * the others keep their order. Highest-random-weight hashing (Thaler and Ravishankar, 1998).
+ * Sorts items in rendezvous order for `key`. The order is the same on every host, and if an item is added or
+ * removed the others keep their order. Highest-random-weight hashing (Thaler and Ravishankar, 1998).
  */
 export function rendezvousOrder<Item>(
   key: string,
--- a/packages/web/src/body.ts
+++ b/packages/web/src/body.ts
@@ -4,7 +4,7 @@
 import { Result } from 'true-myth';
 import type { z } from 'zod';
 
-/** Reads a whole body of at most `limitBytes` within `timeoutMs`. */
+/** Reads a complete request body of at most `maxBytes` within `timeoutMs`. */
 export function readBody(
   request: IncomingMessage,
   maxBytes: number,
@@ -25,10 +25,14 @@
         return;
       }
       request.resume();
-      finish(Result.err(fault('body_too_large', `over ${String(maxBytes)} bytes`)));
+      finish(Result.err(fault('body_too_large', `the body exceeds ${String(maxBytes)} bytes`)));
     };
     const timer = setTimeout(() => {
-      finish(Result.err(fault('caller_slow', `no whole body in ${String(timeoutMs)} ms`)));
+      finish(
+        Result.err(
+          fault('caller_slow', `the body was not complete within ${String(timeoutMs)} ms`),
+        ),
+      );
     }, timeoutMs);
     request.on('data', onData);
     request.once('end', () => {
@@ -40,7 +44,7 @@
   });
 }
 
-/** Parses and checks a JSON body; the fault's path names the first wrong field. */
+/** Parses and validates a JSON body. The path of the fault is the first invalid field. */
 export function parseBody<Schema extends z.ZodType>(
   body: string,
   schema: Schema,
--- a/packages/web/src/client.ts
+++ b/packages/web/src/client.ts
@@ -4,31 +4,31 @@
 import type { Milliseconds } from '@poppypond/core';
 import { Result } from 'true-myth';
 
-/** Why an HTTP call gave no answer. */
+/** Why an HTTP call returned no response, or an incomplete one. */
 export interface TransportFault {
   readonly reason: 'connect' | 'timeout' | 'closed' | 'cancelled';
-  /** False only where not a byte of the call can have reached the other side. */
+  /** False only if no byte of the call can have reached the server. */
   readonly mayHaveArrived: boolean;
   readonly detail: string;
 }
 
-/** An HTTP call. */
+/** An HTTP request to be sent. */
 export interface HttpCall {
   readonly method: 'GET' | 'POST' | 'PUT' | 'DELETE' | (string & {});
   readonly url: string;
   readonly headers?: Readonly<Record<string, string>>;
   readonly body?: string | Buffer;
-  /** Limit for the answer's headers, and for the whole answer in `callHttp`. */
+  /** Timeout for the headers of the response, and in `callHttp` for the complete response. */
   readonly timeoutMs: Milliseconds;
   readonly signal?: AbortSignal;
   /**
-   * Takes a new connection. A kept one may be closed by the other side at the moment it is used,
-   * and then nobody knows whether the call arrived.
+   * Whether to open a new connection. The server may close a pooled one at the moment it is used,
+   * and then it is unknown whether the call arrived.
    */
   readonly usesNewConnection?: boolean;
 }
 
-/** A whole answer. */
+/** A complete HTTP response. */
 export interface HttpResponse {
   readonly status: number;
   readonly headers: IncomingMessage['headers'];
@@ -36,7 +36,7 @@
 }
 
 const MAX_SOCKETS = 512;
-/** Shorter than a server of ours keeps an idle connection. */
+/** Shorter than the keep-alive timeout of our servers. */
 const IDLE_TIMEOUT_MS = 30_000;
 const AGENT_OPTIONS = {
   keepAlive: true,
@@ -45,16 +45,16 @@
   timeout: IDLE_TIMEOUT_MS,
 } as const;
 const agent = new Agent(AGENT_OPTIONS);
-/** Trusts what Node trusts; `NODE_EXTRA_CA_CERTS` adds the operators' own authority. */
+/** Trusts the certificate authorities of Node; `NODE_EXTRA_CA_CERTS` adds the operators' own. */
 const tlsAgent = new TlsAgent(AGENT_OPTIONS);
 
-/** Closes the connections that are kept for reuse. */
+/** Closes the pooled connections. */
 export function closeIdleConnections(): void {
   agent.destroy();
   tlsAgent.destroy();
 }
 
-/** Starts a call and returns when the answer's headers are here; the caller reads the stream. */
+/** Starts a call and resolves when the headers of the response have arrived; the caller reads its body. */
 export function openHttp(call: HttpCall): Promise<Result<IncomingMessage, TransportFault>> {
   return new Promise((resolve) => {
     let isConnected = false;
@@ -97,7 +97,7 @@
   });
 }
 
-/** Makes a call and reads the whole answer. */
+/** Makes a call and reads the complete response. */
 export async function callHttp(call: HttpCall): Promise<Result<HttpResponse, TransportFault>> {
   const started = performance.now();
   const opened = await openHttp(call);
@@ -108,7 +108,9 @@
     const chunks: Buffer[] = [];
     const fail = (reason: TransportFault['reason']) => {
       clearTimeout(timer);
-      resolve(Result.err({ reason, mayHaveArrived: true, detail: `answer cut (${reason})` }));
+      resolve(
+        Result.err({ reason, mayHaveArrived: true, detail: `incomplete response (${reason})` }),
+      );
     };
     const timer = setTimeout(() => {
       response.destroy();
--- a/packages/web/src/reply.ts
+++ b/packages/web/src/reply.ts
@@ -4,10 +4,10 @@
 
 const MILLISECONDS_PER_SECOND = 1000;
 
-/** Headers of a reply. */
+/** Headers of a response, by name. */
 export type ResponseHeaders = Readonly<Record<string, string>>;
 
-/** Answers with JSON. Does nothing if the answer has begun or the connection is gone. */
+/** Sends a JSON response. Does nothing if the response has begun or the connection is closed. */
 export function sendJson(
   response: ServerResponse,
   status: number,
@@ -24,7 +24,7 @@
   response.end(text);
 }
 
-/** A fault in the error shape that common client libraries read, with our fields beside. */
+/** Returns a fault in the error format that common client libraries parse, extended by our own fields. */
 export function faultBody(fault: Fault, requestId?: string): { readonly [key: string]: Json } {
   const entry = RESULT_CODES[fault.code];
   return {
@@ -42,7 +42,7 @@
   };
 }
 
-/** Answers with a fault; `Retry-After` is in whole seconds, at least one. */
+/** Sends a fault as the response. `Retry-After` is in whole seconds, at least one. */
 export function sendFault(
   response: ServerResponse,
   fault: Fault,
--- a/packages/web/src/retry-after.ts
+++ b/packages/web/src/retry-after.ts
@@ -3,7 +3,7 @@
 
 const MS_PER_SECOND = 1000;
 const SECONDS_PATTERN = /^\d+(\.\d+)?$/;
-/** Dates of HTTP begin with a day of the week; what else can be read as a date is none here. */
+/** HTTP dates begin with a day of the week; other formats that `Date.parse` accepts are not valid here. */
 const DATE_PATTERN = /^(Mon|Tue|Wed|Thu|Fri|Sat|Sun)[a-z]*,? /;
 
 function parseHttpDate(text: string | undefined): Milliseconds | undefined {
@@ -17,9 +17,9 @@
 }
 
 /**
- * How long the sender of these headers asks to be left alone: seconds, fractions too, or a date by its own clock
- * where it tells that; undefined where it asks for nothing or for what can't be read. `nowMs`: Unix time, for dates
- * of those that don't tell theirs.
+ * Returns for how long the sender of these headers asks to receive no requests. `Retry-After` holds seconds, also
+ * fractions, or a date, which is compared with the sender's `Date` header, or with `nowMs` (Unix time) if that is
+ * missing. Returns undefined if the header is absent, can't be parsed or asks for no time.
  */
 export function readRetryAfter(
   headers: IncomingHttpHeaders,
--- a/packages/web/src/router.ts
+++ b/packages/web/src/router.ts
@@ -6,12 +6,12 @@
 export interface RouteContext {
   readonly request: IncomingMessage;
   readonly response: ServerResponse;
-  /** The values of `:name` parts, decoded. */
+  /** Decoded values of `:name` segments; `rest` is what a final `*` matched, as in the path. */
   readonly params: Readonly<Record<string, string>>;
   readonly query: URLSearchParams;
 }
 
-/** A handler; a rejected promise becomes status 500 and is reported to `onFailure`. */
+/** Handles a request. If it throws or rejects, the response gets status 500 and `onFailure` is called. */
 export type RouteHandler = (context: RouteContext) => void | Promise<void>;
 
 interface Route {
@@ -39,24 +39,24 @@
   return pattern.length === path.length ? params : undefined;
 }
 
-/** Finds the handler of a request by method and path. */
+/** Dispatches requests to handlers by method and path. */
 export class Router {
   readonly #routes: Route[] = [];
 
   constructor(readonly onFailure: (error: unknown) => void = () => undefined) {}
 
-  /** Adds a route. `:name` takes one part, a final `*` the rest; method `ANY` takes all. */
+  /** Adds a route. `:name` matches one segment, a final `*` the rest, and the method `ANY` all methods. */
   on(method: string, pattern: string, handler: RouteHandler): this {
     this.#routes.push({ method, parts: pattern.split('/'), handler });
     return this;
   }
 
-  /** `METHOD path` of every route. */
+  /** All routes as `METHOD path`. */
   get paths(): readonly string[] {
     return this.#routes.map(({ method, parts }) => `${method} ${parts.join('/')}`);
   }
 
-  /** Answers a request; use as the listener of an http server. */
+  /** Handles a request; the request listener for an HTTP server. */
   readonly handle = (request: IncomingMessage, response: ServerResponse): void => {
     const [path = '/', query] = (request.url ?? '/').split('?', 2);
     const parts = path.split('/');
--- a/packages/web/src/server-state.test.ts
+++ b/packages/web/src/server-state.test.ts
@@ -3,8 +3,8 @@
 import { describe, expect, it } from 'vitest';
 import { probeServer } from './server-state.js';
 
-describe('askServerState', () => {
-  it('tells a process that listens from one that has ended, whatever became of its connections', async () => {
+describe('probeServer', () => {
+  it('distinguishes a process that listens, even if it resets connections, from one that has ended', async () => {
     const listening = createServer((socket) => socket.resetAndDestroy());
     await new Promise<void>((resolve) => listening.listen(0, '127.0.0.1', resolve));
     const bound = listening.address();
--- a/packages/web/src/server-state.ts
+++ b/packages/web/src/server-state.ts
@@ -1,28 +1,28 @@
 import type { Clock, Milliseconds } from '@poppypond/core';
 import { connect } from 'node:net';
 
-/** A server that doesn't take a connection in this time is passed over; nothing was sent. */
+/** A server that does not accept a connection within this time is skipped; nothing was sent to it. */
 export const CONNECT_TIMEOUT_MS: Milliseconds = 300;
 
 /**
- * Whether anything listens where a server was: `refused` where its process has ended, `silent` where
- * its machine is gone or can't be reached.
+ * Whether a process listens at the address of a server. `refused`: its process has ended. `silent`: its
+ * host is gone or cannot be reached.
  */
 export type ProbeResult = 'listening' | 'refused' | 'silent';
 
-/** A server that is full takes a connection and resets it; that may be heard before the connection is. */
+/** An overloaded server accepts a connection and resets it; the reset may be reported before the connection. */
 function resultOfError(code: string | undefined): ProbeResult {
   if (code === 'ECONNREFUSED') return 'refused';
   return code === 'ECONNRESET' ? 'listening' : 'silent';
 }
 
-/** Where a server takes connections. */
+/** The address at which a server accepts connections. */
 export interface ServerEndpoint {
   readonly address: string;
   readonly port: number;
 }
 
-/** Asks by a connection that carries nothing, so that it costs the server no place. */
+/** Probes a server by a connection without data, which takes none of the server's request slots. */
 export function probeServer(clock: Clock, server: ServerEndpoint): Promise<ProbeResult> {
   return new Promise((resolve) => {
     const socket = connect({ host: server.address, port: server.port });
--- a/packages/web/src/server.test.ts
+++ b/packages/web/src/server.test.ts
@@ -24,7 +24,7 @@
   copyFileSync(from('key'), files.keyFile);
 }
 
-/** The common name of the certificate that the server shows now. */
+/** Returns the common name of the certificate that the server presents. */
 function readCertificateName(port: number): Promise<string> {
   return new Promise((resolve, reject) => {
     const socket = connect({ port, host: '127.0.0.1', rejectUnauthorized: false }, () => {
@@ -36,7 +36,7 @@
 }
 
 describe('listen with TLS', () => {
-  it('takes a renewed certificate into use without a restart', async () => {
+  it('uses a renewed certificate without a restart', async () => {
     installCertificate('first');
     server = await listen((_request, response) => response.end('{}'), '127.0.0.1', 0, files);
     const { port } = server;
@@ -46,7 +46,7 @@
     await expect.poll(() => readCertificateName(port), { timeout: 10_000 }).toBe('second');
   });
 
-  it('is not trusted by a client that does not know its authority, and nothing is sent', async () => {
+  it('is rejected by a client that does not trust its certificate authority, and receives no request', async () => {
     installCertificate('first');
     let requests = 0;
     server = await listen(
--- a/packages/web/src/server.ts
+++ b/packages/web/src/server.ts
@@ -6,11 +6,11 @@
 
 const MAX_HEADER_BYTES = 16_384;
 const HEADERS_TIMEOUT_MS = 10_000;
-/** Longer than any of our clients keeps an idle connection, so that none is closed under a call. */
+/** Longer than the idle timeout of our clients, so that no connection is closed during a call. */
 const KEEP_ALIVE_TIMEOUT_MS = 75_000;
 const TLS_RELOAD_PERIOD_MS = 2000;
 
-/** Files in PEM form; read again when they change, so that a renewal needs no restart. */
+/** Files in PEM format. They are reloaded when they change, so that a renewal needs no restart. */
 export interface TlsFiles {
   readonly certificateFile: string;
   readonly keyFile: string;
@@ -22,7 +22,7 @@
   readonly port: number;
   /** `http://ADDRESS:PORT`, or `https:` with TLS. */
   readonly url: string;
-  /** Stops taking connections, then ends those that are open. */
+  /** Stops accepting connections, then closes the open ones. */
   close(): Promise<void>;
 }
 
@@ -30,7 +30,7 @@
   return { cert: readFileSync(certificateFile, 'utf8'), key: readFileSync(keyFile, 'utf8') };
 }
 
-/** Takes new files into use; while they don't fit together the old ones stay. */
+/** Reloads changed files. The previous certificate and key stay in use while the new ones do not match. */
 function reloadOnChange(server: TlsServer, files: TlsFiles): NodeJS.Timeout {
   let current = readTls(files);
   const timer = setInterval(() => {
@@ -40,7 +40,7 @@
       server.setSecureContext(next);
       current = next;
     } catch {
-      // Half of a renewal may be written; the next look sees all of it.
+      // A renewal may be half written; the next check reads it completely.
     }
   }, TLS_RELOAD_PERIOD_MS);
   timer.unref();
@@ -58,7 +58,7 @@
   return server;
 }
 
-/** Listens on `address:port`; port 0 takes a free one. Rejects when the port is taken. */
+/** Listens on `address:port`; port 0 selects a free one. Rejects if the port is in use. */
 export function listen(
   listener: RequestListener,
   address: string,
