--- a/packages/backend/src/attempt.test.ts
+++ b/packages/backend/src/attempt.test.ts
@@ -47,7 +47,7 @@
 }
 
 describe('runAttempt', () => {
-  it('takes each token once, in order, and drops frames of older attempts', async () => {
+  it('delivers each token once, in order, and drops frames of older attempts', async () => {
     const { end, texts } = await attempt((response) => {
       response.writeHead(200);
       const frames = [
@@ -68,12 +68,12 @@
     ['an early end', frame(2, 0, 'a')],
     ['a claim to be done before the last token', frame(2, 0, 'a') + done(2)],
     ['a cancelled end', frame(2, 0, 'a') + done(2, 'cancelled')],
-  ])('calls %s cut, never whole', async (_name, text) => {
+  ])('reports %s as cut, never as done', async (_name, text) => {
     const { end } = await attempt((response) => response.writeHead(200).end(text));
     expect(end.kind).toBe('cut');
   });
 
-  it('goes on from an offset', async () => {
+  it('resumes from an offset', async () => {
     const { end, texts } = await attempt(
       (response) => response.writeHead(200).end(frame(2, 1, 'b') + frame(2, 2, 'c') + done(2)),
       1,
@@ -81,7 +81,7 @@
     expect([end.kind, texts]).toEqual(['done', ['b', 'c']]);
   });
 
-  it('takes a refusal for not run only when it was read whole', async () => {
+  it('reports a refusal only if its body is complete', async () => {
     const complete = await attempt((response) =>
       response.writeHead(409).end('{"refused":"no_memory"}'),
     );
@@ -95,7 +95,7 @@
     expect(cut.end.kind).toBe('cut');
   });
 
-  it('knows that nothing was sent where nobody listens', async () => {
+  it('reports that nothing was sent if no process listens', async () => {
     await attempt((response) => response.writeHead(200).end(done(2)));
     const url = server?.url ?? '';
     await server?.close();
--- a/packages/backend/src/attempt.ts
+++ b/packages/backend/src/attempt.ts
@@ -10,49 +10,49 @@
 export interface AttemptCall {
   readonly engineUrl: string;
   readonly requestId: string;
-  /** Rises with each attempt of a request; frames of older attempts are dropped. */
+  /** Increases with each attempt of a request; frames of older attempts are dropped. */
   readonly attempt: number;
   readonly owner: string;
   readonly dispatch: number;
   readonly priority: number;
   readonly timeRemainingMs: Milliseconds;
-  /** Index of the first token that is wanted. */
+  /** Index of the first token that the engine is to send. */
   readonly resumeOffset: number;
   readonly maxTokens: number;
-  /** The caller's body as it came, or that of one part. */
+  /** The unchanged body of the caller, or the body for one part of its prompt. */
   readonly body: Buffer | string;
   /** Whether the engine may let the request wait for memory. */
   readonly mayWaitInEngine: boolean;
   readonly reservationId?: string;
   readonly isPrefillOnly?: boolean;
-  /** `URL#RESERVATION` of the KV caches before this prompt. */
+  /** `URL#RESERVATION` of the KV caches of the preceding parts of the prompt. */
   readonly imports?: readonly string[];
 }
 
-/** What the engine said when it took the attempt. */
+/** What the engine reports when it accepts an attempt. */
 export interface AttemptAccepted {
   readonly reservation: string;
   readonly cachedTokens: number;
   readonly promptTokens: number;
 }
 
-/** Called while an attempt runs. */
+/** Callbacks of a running attempt. */
 export interface AttemptListener {
   onAccepted?(accepted: AttemptAccepted): void;
-  /** Tokens come in order, each index once. */
+  /** Called in order of the indexes, once for each index. */
   onToken(index: number, text: string): void;
 }
 
 /**
  * How an attempt ended. `refused` and `not_sent` confirm that nothing was run;
- * after `cut` the engine may have run any part.
+ * after `cut` the engine may have run any part of it.
  */
 export type AttemptEnd =
   | { readonly kind: 'done'; readonly promptTokens: number }
   | {
       readonly kind: 'refused';
       readonly reason: string;
-      /** For how long the engine wants nothing more from this host; undefined where it doesn't ask for rest. */
+      /** How long this host must send the engine nothing; undefined if the engine requests no backoff. */
       readonly backoffMs?: Milliseconds | undefined;
     }
   | { readonly kind: 'not_sent'; readonly detail: string }
@@ -92,7 +92,7 @@
   };
 }
 
-/** Reads the frames of one attempt: drops those of others, takes each index once, in order. */
+/** Reads the frames of one attempt: drops those of other attempts, and accepts each index once, in order. */
 class FrameReader {
   #nextIndex: number;
   end: AttemptEnd | undefined;
@@ -128,7 +128,7 @@
 
   #finish(data: string): void {
     const done = doneSchema.safeParse(parseJson(data));
-    if (!done.success) this.end = { kind: 'cut', detail: 'malformed end' };
+    if (!done.success) this.end = { kind: 'cut', detail: 'malformed done event' };
     else if (done.data.end === 'done' && this.#isComplete()) {
       this.end = { kind: 'done', promptTokens: done.data.promptTokens };
     } else if (done.data.end === 'time_limit') this.end = { kind: 'time_limit' };
@@ -150,7 +150,7 @@
   return Buffer.concat(chunks).toString('utf8');
 }
 
-/** A refusal counts only when it was read whole: then the engine has confirmed it. */
+/** Reads a refusal. It counts only if its body is complete, as only then the engine has confirmed it. */
 async function readRefusal(response: IncomingMessage): Promise<AttemptEnd> {
   const refused = refusedSchema.safeParse(parseJson(await readText(response)));
   const { headers, statusCode } = response;
@@ -180,7 +180,7 @@
   });
 }
 
-/** Runs one attempt. Aborting `signal` cancels it on the engine too, by closing the stream. */
+/** Runs one attempt. Aborting `signal` closes the stream, which also cancels the attempt on the engine. */
 export async function runAttempt(
   call: AttemptCall,
   listener: AttemptListener,
--- a/packages/backend/src/engine-load.ts
+++ b/packages/backend/src/engine-load.ts
@@ -4,7 +4,7 @@
 
 const TIMEOUT_MS = 2000;
 
-/** One load report of an engine. */
+/** Schema of a load report of an engine. */
 export const loadReportSchema = z.object({
   sequence: z.number(),
   seen: z.number(),
@@ -19,10 +19,10 @@
   models: z.record(z.string(), z.string()),
 });
 
-/** One load report of an engine. */
+/** A load report of an engine. */
 export type EngineReport = Readonly<z.infer<typeof loadReportSchema>>;
 
-/** Asks an engine for its load; undefined where it does not answer. */
+/** Queries the load of an engine. Returns undefined if there is no valid response. */
 export async function readEngineLoad(engineUrl: string): Promise<EngineReport | undefined> {
   const reply = await callHttp({ method: 'GET', url: `${engineUrl}/load`, timeoutMs: TIMEOUT_MS });
   if (reply.isErr) return undefined;
--- a/packages/backend/src/engine-memory.ts
+++ b/packages/backend/src/engine-memory.ts
@@ -22,10 +22,10 @@
 });
 const listSchema = z.object({ reservations: z.array(reservationSchema) });
 
-/** Memory that an engine holds for a request. */
+/** Memory that an engine has reserved for a request. */
 export type MemoryReservation = Readonly<z.infer<typeof reservationSchema>>;
 
-/** What is to be reserved. */
+/** A call to reserve memory. */
 export interface ReserveCall {
   readonly owner: string;
   readonly requestId: string;
@@ -35,7 +35,7 @@
   readonly timeRemainingMs: Milliseconds;
 }
 
-/** Why memory could not be reserved; after `unknown` the engine may hold it all the same. */
+/** Why memory could not be reserved. After `unknown` the engine may have reserved it nevertheless. */
 export type ReserveFailure = 'no_memory' | 'unreachable' | 'unknown';
 
 const CREATED = 201;
@@ -56,7 +56,7 @@
   return Result.ok(parsed.data);
 }
 
-/** Reserves memory on an engine; the reservation's identifier. */
+/** Reserves memory on an engine. Returns the identifier of the reservation. */
 export async function reserveMemory(
   engineUrl: string,
   call: ReserveCall,
@@ -75,7 +75,7 @@
   return Result.err('no_memory');
 }
 
-/** Renews reservations; those that the engine no longer holds for this owner. */
+/** Renews reservations. Returns those that the engine no longer holds for this owner. */
 export function renewReservations(
   engineUrl: string,
   owner: string,
@@ -88,7 +88,7 @@
   );
 }
 
-/** Releases reservations; the tokens that became free. */
+/** Releases reservations. Returns the number of tokens that became free. */
 export function releaseReservations(
   engineUrl: string,
   reservations: readonly string[],
@@ -98,7 +98,7 @@
   );
 }
 
-/** Everything that an engine holds. */
+/** Returns all reservations that an engine holds. */
 export async function listReservations(
   engineUrl: string,
 ): Promise<Result<readonly MemoryReservation[], string>> {
@@ -106,5 +106,7 @@
   const reply = await callHttp({ method: 'GET', url, timeoutMs: CALL_TIMEOUT_MS });
   if (reply.isErr) return Result.err(reply.error.reason);
   const parsed = listSchema.safeParse(parseJson(reply.value.body));
-  return parsed.success ? Result.ok(parsed.data.reservations) : Result.err('malformed list');
+  return parsed.success
+    ? Result.ok(parsed.data.reservations)
+    : Result.err('malformed list of reservations');
 }
--- a/packages/backend/src/engine-orders.ts
+++ b/packages/backend/src/engine-orders.ts
@@ -1,7 +1,7 @@
 import type { Milliseconds } from '@poppypond/core';
 import { callHttp } from '@poppypond/web';
 
-/** What an engine is told to do. */
+/** A command to an engine. */
 export type EngineCommand =
   | {
       readonly kind: 'load-model';
@@ -12,23 +12,26 @@
   | { readonly kind: 'unload-model'; readonly model: string; readonly version: string }
   | { readonly kind: 'set-role'; readonly role: 'any' | 'long' | 'short' };
 
-/** An order under a lease. */
+/** A command that is sent under a lease. */
 export interface FencedCommand {
   readonly scope: string;
-  /** The lease's fencing token. */
+  /** The fencing token of the lease. */
   readonly fence: number;
-  /** After this the order is void. */
+  /** Time after which the command is no longer valid. */
   readonly expiresInMs: Milliseconds;
   readonly order: EngineCommand;
 }
 
-/** `older_fence`: another holder has ordered since. `unknown`: it may have been followed. */
+/**
+ * `followed`: the engine has executed the command. `older_fence`: a newer holder of the lease has sent a command
+ * since. `unknown`: the engine may have executed the command.
+ */
 export type CommandResult = 'followed' | 'failed' | 'older_fence' | 'not_sent' | 'unknown';
 
 const OK = 200;
 const CONFLICT = 409;
 
-/** Sends an order to an engine. */
+/** Sends a command to an engine. */
 export async function sendEngineCommand(
   engineUrl: string,
   order: FencedCommand,
--- a/packages/backend/src/line-feed.ts
+++ b/packages/backend/src/line-feed.ts
@@ -7,14 +7,14 @@
 const OPEN_TIMEOUT_MS = 3000;
 const JITTER_RATIO = 0.5;
 
-/** Called with what a feed brings. */
+/** Callbacks of a feed. */
 export interface FeedListener {
   onLine(line: unknown): void;
-  /** The feed is cut; it is opened again by itself. */
+  /** The feed was interrupted; it reconnects by itself. */
   onClosed(): void;
 }
 
-/** A stream of JSON lines that is opened again, with back-off, whenever it ends. */
+/** A stream of JSON lines that reconnects with exponential backoff whenever it ends. */
 export class JsonLinesFeed {
   #abort: AbortController | undefined;
   #isStopped = false;
@@ -35,7 +35,7 @@
     this.#abort?.abort();
   }
 
-  /** Opens the feed anew, e.g. after a gap. */
+  /** Reconnects the feed, e.g. after a gap. */
   restart(): void {
     this.#abort?.abort();
   }
--- a/packages/backend/src/service-call.test.ts
+++ b/packages/backend/src/service-call.test.ts
@@ -35,7 +35,7 @@
 }
 
 describe('callService', () => {
-  it('tells the rest that a service asks for with a 503, whether it has run the call or not', async () => {
+  it('reports the backoff that a service requests with a 503, whether it has run the call or not', async () => {
     const notRun = { 'x-not-run': '1', 'retry-after': '2.5' };
     expect(await callWithResponse(503, notRun)).toMatchObject({ kind: 'not_run', backoffMs: 2500 });
     await server?.close();
@@ -43,7 +43,7 @@
     expect(answered).toMatchObject({ kind: 'answered', backoffMs: 1000 });
   });
 
-  it('takes no rest from other answers', async () => {
+  it('reports no backoff for other responses', async () => {
     const answered = await callWithResponse(200, { 'retry-after': '1' });
     expect(answered).toMatchObject({ kind: 'answered', backoffMs: undefined });
   });
--- a/packages/backend/src/service-call.ts
+++ b/packages/backend/src/service-call.ts
@@ -10,17 +10,17 @@
   readonly body: Buffer;
   readonly timeoutMs: Milliseconds;
   readonly signal: AbortSignal;
-  /** Whether the call may be made twice; one that may not takes a new connection. */
+  /** Whether the call may be repeated; one that may not uses a new connection. */
   readonly mayRepeat: boolean;
 }
 
-/** What a service may say of itself with its answer. */
+/** What a service may report about itself in a response. */
 interface ServiceNotice {
-  /** For how long it wants nothing more from this host; undefined where it doesn't ask for rest. */
+  /** How long this host must send the service nothing; undefined if the service requests no backoff. */
   readonly backoffMs?: Milliseconds | undefined;
 }
 
-/** How a call to a plain service ended; the three outcomes are never blurred. */
+/** How a call to a plain service ended. The three outcomes are kept strictly apart. */
 export type ServiceEnd =
   | ({
       readonly kind: 'answered';
@@ -31,7 +31,7 @@
   | ({ readonly kind: 'not_run'; readonly detail: string } & ServiceNotice)
   | { readonly kind: 'unknown'; readonly detail: string };
 
-/** By this header a service confirms that it refused a call without running it. */
+/** The header by which a service confirms that it refused a call without running it. */
 const NOT_RUN_HEADER = 'x-not-run';
 const UNAVAILABLE = 503;
 
--- a/packages/peer/src/link.ts
+++ b/packages/peer/src/link.ts
@@ -3,7 +3,7 @@
 
 const packr = new Packr({ useRecords: false });
 
-/** Bytes and messages that went over links, both ways. */
+/** Bytes and messages sent and received over all links. */
 export interface LinkTraffic {
   bytesIn: number;
   bytesOut: number;
@@ -11,7 +11,7 @@
   messagesOut: number;
 }
 
-/** Sends a message; drops it when the link isn't open or its buffer is full. */
+/** Sends a message. Drops it and returns false if the link is not open or its send buffer is full. */
 export function sendMessage(
   socket: WebSocket,
   message: unknown,
@@ -26,7 +26,7 @@
   return true;
 }
 
-/** Reads a message; undefined when it is malformed. */
+/** Decodes a message. Returns undefined if it is malformed. */
 export function readMessage(data: unknown, traffic: LinkTraffic): unknown {
   if (!Buffer.isBuffer(data)) return undefined;
   traffic.bytesIn += data.length;
--- a/packages/peer/src/membership.ts
+++ b/packages/peer/src/membership.ts
@@ -3,14 +3,14 @@
 
 const MAX_REMOVED_INCARNATIONS = 10_000;
 
-/** `suspect`: not heard of for a while, not removed yet. */
+/** `suspect`: silent for longer than `suspectAfterMs`, but not removed yet. */
 export type MemberState = 'alive' | 'suspect';
 
-/** A member and what is believed of it. */
+/** A member and its state as seen by this host. */
 export interface KnownMember {
   readonly member: Member;
   readonly state: MemberState;
-  /** Since it was last heard of, by itself or through others. */
+  /** Time since the last message from the member or the last newer heartbeat reported by others. */
   readonly silentMs: Milliseconds;
 }
 
@@ -20,18 +20,18 @@
   readonly heardAtMs: Milliseconds;
 }
 
-/** Times that decide about members. */
+/** Timeouts of the failure detection. */
 export interface MembershipTimes {
   readonly suspectAfterMs: Milliseconds;
   readonly removeAfterMs: Milliseconds;
 }
 
-/** The hosts that this host has heard of. A hint: no safety rests on it. */
+/** The hosts that this host knows of. Only a hint: no safety property depends on it. */
 export class Membership {
   readonly #entries = new Map<string, Entry>();
-  /** Incarnation of a removed run to its last heartbeat. */
+  /** The last heartbeat number of each removed incarnation. */
   readonly #lastBeatOfRemoved = new Map<string, number>();
-  /** Which entry comes next in the news for each receiver. */
+  /** Index of the entry that comes next in the gossip, by receiver. */
   readonly #nextGossipIndex = new Map<string, number>();
 
   constructor(
@@ -40,7 +40,7 @@
     readonly clock: Clock,
   ) {}
 
-  /** Notes that a member itself was heard. */
+  /** Records that a message from the member itself has arrived. */
   recordContact(member: Member, beat: number): void {
     const known = this.#entries.get(member.host);
     const isSameIncarnation = known?.member.incarnation === member.incarnation;
@@ -49,8 +49,8 @@
   }
 
   /**
-   * Notes what another host passes on. Only a newer heartbeat counts, so that hosts don't keep
-   * each other believing in one that is gone; another run counts once the known one is silent.
+   * Records an entry that another host has forwarded. Only a newer heartbeat counts, so that hosts do not keep an
+   * entry of a dead host alive for each other. Another incarnation counts once the known one is suspect.
    */
   recordGossip({ member, beat }: MemberGossip): void {
     const known = this.#entries.get(member.host);
@@ -66,14 +66,14 @@
     this.#entries.set(member.host, { member, beat, heardAtMs: this.clock.monotonicMs() });
   }
 
-  /** A removed run comes back only with a newer heartbeat than it was removed with. */
+  /** A removed incarnation is added again only with a newer heartbeat than the one it was removed with. */
   #isStale(member: Member, beat: number): boolean {
     return beat <= (this.#lastBeatOfRemoved.get(member.incarnation) ?? -1);
   }
 
   /**
-   * News about a few members for one receiver, taken in turn. With one turn for all receivers, 11
-   * members and 11 links had each receiver told of the same four for ever.
+   * Returns gossip about the next `count` members for one receiver, in rotation. Each receiver has its own position:
+   * with a common one, 11 members and 11 links, each receiver would always get the same four members.
    */
   nextGossip(receiver: string, count: number): readonly MemberGossip[] {
     const all = [...this.#entries.values()];
@@ -86,12 +86,12 @@
     return news.flat();
   }
 
-  /** News about every member. */
+  /** Returns gossip about all members. */
   allGossip(): readonly MemberGossip[] {
     return [...this.#entries.values()].map(({ member, beat }) => ({ member, beat }));
   }
 
-  /** Known members; those silent for too long are removed. */
+  /** Returns the known members, after removing those that have been silent for too long. */
   list(): readonly KnownMember[] {
     const now = this.clock.monotonicMs();
     const known: KnownMember[] = [];
--- a/packages/peer/src/mesh.test.ts
+++ b/packages/peer/src/mesh.test.ts
@@ -7,7 +7,7 @@
 import { PeerMesh } from './mesh.js';
 
 const clock = new SystemClock();
-/** Hosts beside the first. */
+/** Names of all hosts except the first. */
 const HOST_NAMES = Array.from(
   { length: 11 },
   (_, index) => `h${String(index + 1).padStart(2, '0')}`,
@@ -18,7 +18,7 @@
   return listen((_request, response) => response.end(), '127.0.0.1', 0);
 }
 
-/** A host starts at a port that is open already. */
+/** Starts a host on a server that already listens. */
 function startMeshAt(
   server: ListeningServer,
   host: string,
@@ -56,7 +56,7 @@
   return `${mesh.settings.self.host}: linked ${links.join(' ')}; silent for ms ${known.join(', ')}`;
 }
 
-/** Waits until each knows `count` others; a failure tells whom each knew, and how long this process stood still. */
+/** Waits until each host knows `count` others. The error lists the known members and the longest process pause. */
 async function waitUntilAllKnow(all: readonly PeerMesh[], count: number): Promise<void> {
   const stalls = monitorEventLoopDelay({ resolution: 10 });
   stalls.enable();
@@ -76,7 +76,7 @@
 });
 
 describe('PeerMesh', () => {
-  it('connects hosts that know one seed, one link for each pair, and passes messages', async () => {
+  it('connects hosts that know one seed, with one link for each pair, and delivers messages', async () => {
     const first = await startMesh('h1', []);
     const seeds = [first.settings.self.peerUrl];
     const others = await Promise.all(['h2', 'h3', 'h4'].map((host) => startMesh(host, seeds)));
@@ -115,10 +115,11 @@
   });
 
   /*
-   * Seen once: twelve hosts beside a busy machine did not all know each other within 5 s. A host that has as many links
-   * as it wants asked no seed, so hosts that are linked among themselves and have lost all others stayed apart for ever.
+   * Guards against a permanent partition: if hosts with enough links dial no seeds, hosts that are linked among
+   * themselves and have lost all others never find them again. With twelve hosts under CPU load, not all hosts know
+   * each other within 5 s then.
    */
-  it('has hosts that are full with links among themselves find a seed that they do not know', async () => {
+  it('connects hosts that have enough links among themselves to a seed that they do not know', async () => {
     const port = await listenOnFreePort();
     const seed = port.url.replace('http:', 'ws:');
     const firstIsolated = await startMesh('h01', [seed], 2);
--- a/packages/peer/src/mesh.ts
+++ b/packages/peer/src/mesh.ts
@@ -11,12 +11,12 @@
 import type { Member } from './messages.js';
 import type { PeerMessages } from './peer-messages.js';
 
-/** Settings of the mesh. */
+/** Settings of a `PeerMesh`. */
 export interface MeshSettings extends MembershipTimes {
   readonly self: Member;
-  /** Peer addresses to start from, `ws://ADDRESS:PORT`. */
+  /** Peer addresses by which to join the mesh, `ws://ADDRESS:PORT`. */
   readonly seeds: readonly string[];
-  /** How many members this host connects to by itself. */
+  /** Number of members to which this host opens links. */
   readonly fanOut: number;
   readonly heartbeatMs: Milliseconds;
 }
@@ -33,16 +33,16 @@
 const MAX_MESSAGE_BYTES = 16_000_000;
 const HEARTBEAT_KIND = 'heartbeat';
 /**
- * A host with as many links as it wants asks a seed that it does not know this often: hosts that are linked among
- * themselves and have lost all others would stay apart for ever.
+ * A host that has enough links still dials unknown seeds once in so many heartbeats. Otherwise hosts that are linked
+ * among themselves and have lost all others would stay partitioned for ever.
  */
 const SEED_DIAL_PERIOD_HEARTBEATS = 60;
-/** Members that one heartbeat brings news of. */
+/** Number of members in the gossip of one heartbeat. */
 const GOSSIP_PER_HEARTBEAT = 4;
 
 /**
  * Connections between hosts. Each host dials a few members in rendezvous order, so that a small
- * fleet is fully connected and a large one is not all-to-all. Messages may be lost or repeated.
+ * fleet is a full mesh and a large one is not. Messages may be lost or duplicated.
  */
 export class PeerMesh implements PeerMessages {
   readonly membership: Membership;
@@ -54,7 +54,7 @@
   #cancelTimer: CancelTimer | undefined;
   #isStopped = false;
   #heartbeatNumber = 0;
-  /** Called when a member's link has opened. */
+  /** Called when a link to a member has opened and its hello message has arrived. */
   onPeerConnected: (member: Member) => void = () => undefined;
 
   constructor(
@@ -87,7 +87,7 @@
     this.#server.close();
   }
 
-  /** Registers the handler of a kind of message; malformed bodies are dropped. */
+  /** Registers the handler for a kind of message; messages with malformed bodies are dropped. */
   on<Schema extends z.ZodType>(
     kind: string,
     schema: Schema,
@@ -99,7 +99,7 @@
     });
   }
 
-  /** Members with an open link. */
+  /** Returns the members with an open link. */
   linked(): readonly Member[] {
     const members = new Map<string, Member>();
     for (const { member, socket } of this.#links) {
@@ -112,7 +112,7 @@
     return this.membership.list();
   }
 
-  /** Sends to one host; false where there is no open link or its buffer is full. */
+  /** Sends to one host. Returns false if there is no open link or its send buffer is full. */
   send(host: string, kind: string, body: unknown): boolean {
     for (const { member, socket } of this.#links) {
       if (member?.host !== host) continue;
@@ -121,7 +121,7 @@
     return false;
   }
 
-  /** Sends to every linked member but `except`. */
+  /** Sends to every linked member except `except`. */
   broadcast(kind: string, body: unknown, except?: string): void {
     for (const { host } of this.linked()) if (host !== except) this.send(host, kind, body);
   }
@@ -207,7 +207,10 @@
     this.onPeerConnected(member);
   }
 
-  /** Of two links to one run of a host, the one that the lesser name dialled stays. */
+  /**
+   * Whether `link` is a duplicate to be closed. Of two links to the same incarnation of a host, the one stays that was
+   * dialled by the host with the lesser name. Links to other incarnations are terminated.
+   */
   #isDuplicate(link: Link, member: Member): boolean {
     const isDialledBySelf = this.settings.self.host < member.host;
     for (const other of this.#links) {
