--- a/packages/core/src/clock.ts
+++ b/packages/core/src/clock.ts
@@ -43,7 +43,7 @@
 const CLOCK_NOISE_MS: Milliseconds = 20;
 /**
  * The boot clock is read at least this often, because a simultaneous step of the wall clock can hide a suspension.
- * It is not read each time, because a read takes 1.6 us, ten times as long as one of the wall clock.
+ * It is not read each time, because a read takes 1.6 us, ten times as long as a read of the wall clock.
  */
 const BOOT_CLOCK_CHECK_PERIOD_MS: Milliseconds = 500;
 
--- a/packages/objects/src/kinds.ts
+++ b/packages/objects/src/kinds.ts
@@ -6,7 +6,7 @@
 const positive = z.number().positive();
 const tokens = z.int().positive();
 
-/** A token bucket: the refill rate in cost units per second, and the capacity in cost units. */
+/** A token budget, kept as a bucket: its refill rate in cost units per second, and its capacity in cost units. */
 const budgetSchema = z.strictObject({ unitsPerSecond: positive, burstUnits: positive });
 
 const poolSpec = z.strictObject({
@@ -124,7 +124,7 @@
 /** The configuration object type of one kind. */
 export type ObjectOf<Kind extends ObjectKind> = Extract<ConfigObject, { readonly kind: Kind }>;
 
-/** Refill rate and capacity of a token bucket. */
+/** A token budget: refill rate and capacity of its bucket. */
 export type Budget = Readonly<z.infer<typeof budgetSchema>>;
 
 /** All kinds, in the order in which objects are listed. */
--- a/packages/peer/src/membership.ts
+++ b/packages/peer/src/membership.ts
@@ -17,7 +17,7 @@
 interface Entry {
   readonly member: Member;
   readonly beat: number;
-  readonly heardAtMs: Milliseconds;
+  readonly lastHeardAtMs: Milliseconds;
 }
 
 /** Timeouts of the failure detection. */
@@ -49,21 +49,21 @@
   }
 
   /**
-   * Records an entry that another host has forwarded. Only a newer heartbeat counts, so that hosts do not keep an
-   * entry of a dead host alive for each other. Another incarnation counts once the known one is suspect.
+   * Records an entry that another host has forwarded. Only a newer heartbeat counts, so that hosts do not keep a dead
+   * host alive by forwarding it to each other. Another incarnation counts once the known one is suspect.
    */
   recordGossip({ member, beat }: MemberGossip): void {
     const known = this.#entries.get(member.host);
     if (!known) return this.#update(member, beat);
     const isSameIncarnation = known.member.incarnation === member.incarnation;
     if (isSameIncarnation && beat > known.beat) return this.#update(member, beat);
-    const silentMs = this.clock.monotonicMs() - known.heardAtMs;
+    const silentMs = this.clock.monotonicMs() - known.lastHeardAtMs;
     if (!isSameIncarnation && silentMs > this.times.suspectAfterMs) this.#update(member, beat);
   }
 
   #update(member: Member, beat: number): void {
     if (member.host === this.self.host || this.#isStale(member, beat)) return;
-    this.#entries.set(member.host, { member, beat, heardAtMs: this.clock.monotonicMs() });
+    this.#entries.set(member.host, { member, beat, lastHeardAtMs: this.clock.monotonicMs() });
   }
 
   /** A removed incarnation is added again only with a newer heartbeat than the one it was removed with. */
@@ -95,8 +95,8 @@
   list(): readonly KnownMember[] {
     const now = this.clock.monotonicMs();
     const known: KnownMember[] = [];
-    for (const [host, { member, heardAtMs }] of this.#entries) {
-      const silentMs = now - heardAtMs;
+    for (const [host, { member, lastHeardAtMs }] of this.#entries) {
+      const silentMs = now - lastHeardAtMs;
       if (silentMs > this.times.removeAfterMs) this.#remove(host);
       else {
         const state = silentMs > this.times.suspectAfterMs ? 'suspect' : 'alive';
--- a/packages/peer/src/mesh.test.ts
+++ b/packages/peer/src/mesh.test.ts
@@ -116,8 +116,8 @@
 
   /*
    * Guards against a permanent partition: if hosts with enough links dial no seeds, hosts that are linked among
-   * themselves and have lost all others never find them again. With twelve hosts under CPU load, not all hosts know
-   * each other within 5 s then.
+   * themselves and have lost all others never find them again. Under CPU load, some of twelve hosts then do not
+   * know all others within 5 s.
    */
   it('connects hosts that have enough links among themselves to a seed that they do not know', async () => {
     const port = await listenOnFreePort();
--- a/packages/peer/src/mesh.ts
+++ b/packages/peer/src/mesh.ts
@@ -208,18 +208,18 @@
   }
 
   /**
-   * Whether `link` is a duplicate to be closed. Of two links to the same incarnation of a host, the one stays that was
-   * dialled by the host with the lesser name. Links to other incarnations are terminated.
+   * Whether `link` is a duplicate that is to be closed. Of two links to the same incarnation of a host, the link that
+   * the host with the lesser name dialled is kept. Links to other incarnations of the host are terminated.
    */
   #isDuplicate(link: Link, member: Member): boolean {
-    const isDialledBySelf = this.settings.self.host < member.host;
+    const keepsOwnDialledLink = this.settings.self.host < member.host;
     for (const other of this.#links) {
       if (other === link || other.member?.host !== member.host) continue;
       if (other.member.incarnation !== member.incarnation) {
         other.socket.terminate();
         continue;
       }
-      if (other.socket.readyState === WebSocket.OPEN) return link.isDialled !== isDialledBySelf;
+      if (other.socket.readyState === WebSocket.OPEN) return link.isDialled !== keepsOwnDialledLink;
     }
     return false;
   }
--- a/packages/settings/src/schemas.ts
+++ b/packages/settings/src/schemas.ts
@@ -12,8 +12,8 @@
 const MAX_DURATION_MS = 24 * 60 * 60 * 1000;
 
 /**
- * A duration in milliseconds as deployments set it: fractions and zero are accepted, and a duration of
- * more than a day is reduced to one day.
+ * A duration in milliseconds that a deployment sets. Fractions and zero are accepted; a duration of more
+ * than a day is reduced to one day.
  */
 export const cappedDurationSetting = z.coerce
   .number<string>()
--- a/packages/telemetry/src/log.ts
+++ b/packages/telemetry/src/log.ts
@@ -28,7 +28,10 @@
   return /^[\w.:/@+-]+$/.test(text) ? text : JSON.stringify(text);
 }
 
-/** Formats `key=value` pairs. Values with other characters than letters, digits and `_ . : / @ + -` are quoted. */
+/**
+ * Formats `key=value` pairs. A value with other characters than letters, digits and `_ . : / @ + -` is quoted, and
+ * an undefined one is omitted.
+ */
 export function formatFields(fields: LogFields): string {
   const parts: string[] = [];
   for (const [key, value] of Object.entries(fields)) {
@@ -46,7 +49,7 @@
   const logger = new Logger<LogFields>({
     type: 'hidden',
     minLevel: TSLOG_LEVELS[level],
-    // The position of the log call would need a stack trace for each line.
+    // Logging the position of the call would need a stack trace for each line.
     hideLogPositionForProduction: true,
   });
   logger.attachTransport((entry) => {
@@ -55,12 +58,16 @@
     const header = { time: _meta?.date.toISOString(), level: name };
     write(`${formatFields({ ...header, ...fields })}\n`, isLogLevel(name) ? name : 'info');
   });
-  const line = (event: string, fields: LogFields = {}) => ({ event, ...common, ...fields });
+  const withCommonFields = (event: string, fields: LogFields = {}) => ({
+    event,
+    ...common,
+    ...fields,
+  });
   return {
-    debug: (event, fields) => logger.debug(line(event, fields)),
-    info: (event, fields) => logger.info(line(event, fields)),
-    warn: (event, fields) => logger.warn(line(event, fields)),
-    error: (event, fields) => logger.error(line(event, fields)),
+    debug: (event, fields) => logger.debug(withCommonFields(event, fields)),
+    info: (event, fields) => logger.info(withCommonFields(event, fields)),
+    warn: (event, fields) => logger.warn(withCommonFields(event, fields)),
+    error: (event, fields) => logger.error(withCommonFields(event, fields)),
   };
 }
 
--- a/packages/web/src/retry-after.ts
+++ b/packages/web/src/retry-after.ts
@@ -17,9 +17,9 @@
 }
 
 /**
- * Returns for how long the sender of these headers asks to receive no requests. `Retry-After` holds seconds, also
- * fractions, or a date, which is compared with the sender's `Date` header, or with `nowMs` (Unix time) if that is
- * missing. Returns undefined if the header is absent, can't be parsed or asks for no time.
+ * Returns for how long the sender of these headers asks to be sent no requests. `Retry-After` holds seconds (also
+ * fractions) or a date. A date is compared with the sender's `Date` header, or with `nowMs` (Unix time) if that is
+ * missing. Returns undefined if `Retry-After` is absent, cannot be parsed, or is zero or in the past.
  */
 export function readRetryAfter(
   headers: IncomingHttpHeaders,
--- a/packages/web/src/router.ts
+++ b/packages/web/src/router.ts
@@ -56,7 +56,7 @@
     return this.#routes.map(({ method, parts }) => `${method} ${parts.join('/')}`);
   }
 
-  /** Handles a request; the request listener for an HTTP server. */
+  /** Request listener for an HTTP server: calls the handler of the route, or sends a fault if there is none. */
   readonly handle = (request: IncomingMessage, response: ServerResponse): void => {
     const [path = '/', query] = (request.url ?? '/').split('?', 2);
     const parts = path.split('/');
