--- a/packages/core/src/clock.test.ts
+++ b/packages/core/src/clock.test.ts
@@ -2,27 +2,27 @@
 import { SystemClock } from './clock.js';
 
 /*
- * What users saw: nothing yet. A host may be suspended for seconds, with all that runs on it. Its steady clock
- * stands still meanwhile, and it wakes with all that it believed before: keys that were removed since still
- * count, a configuration that was replaced is the newest, a host that others took over from plans on, and
- * what callers are still to be given is longer by the time that it slept.
+ * A host may be suspended for seconds together with all of its processes. The steady clock does not advance
+ * meanwhile, so the host would continue with expired state: it would accept keys that were removed since, take a
+ * replaced configuration for the newest, go on planning after other hosts took over, and extend the deadlines of
+ * its callers by the time of the suspension.
  *
- * Evidence: every lease, age and limit of a host rests on `Clock.monotonicMs`, and that on a clock that does
- * not count the time; the time of day does, but it is also set forward and back by seconds without any
- * suspension, so that alone it proves nothing.
+ * All leases, ages and timeouts of a host use `Clock.monotonicMs`, so this clock has to count the suspended time.
+ * The wall clock counts it, but it is also set forward and back by seconds without a suspension, so it does not
+ * prove a suspension by itself.
  */
 
-/** A machine whose clocks go on in virtual time. */
-class Machine {
+/** A host with clocks in virtual time that can be suspended. */
+class SuspendableHost {
   suspendedMs = 0;
-  setForwardMs = 0;
+  wallStepMs = 0;
   readonly clock = new SystemClock({
     steadyMs: () => performance.now(),
-    wallMs: () => Date.now() + this.suspendedMs + this.setForwardMs,
+    wallMs: () => Date.now() + this.suspendedMs + this.wallStepMs,
     bootMs: () => performance.now() + this.suspendedMs,
   });
 
-  /** It sleeps; nothing that runs on it notices. */
+  /** Suspends the host: its steady clock and timers do not advance. */
   suspend(forMs: number): void {
     this.suspendedMs += forMs;
   }
@@ -37,43 +37,43 @@
 });
 
 describe('SystemClock', () => {
-  it('counts the time for which its machine was suspended, at the first look after it, and no step of the time of day', () => {
-    const machine = new Machine();
-    const beforeMs = machine.clock.monotonicMs();
+  it('counts the time of a suspension from the first reading after it, and no steps of the wall clock', () => {
+    const host = new SuspendableHost();
+    const beforeMs = host.clock.monotonicMs();
     vi.advanceTimersByTime(100);
-    machine.suspend(4000);
-    expect(machine.clock.monotonicMs()).toBe(beforeMs + 4100);
-    machine.suspend(300);
+    host.suspend(4000);
+    expect(host.clock.monotonicMs()).toBe(beforeMs + 4100);
+    host.suspend(300);
     vi.advanceTimersByTime(50);
-    expect(machine.clock.monotonicMs()).toBe(beforeMs + 4450);
-    // A step of the time of day is none, alone or together with one.
-    machine.setForwardMs = 5000;
-    expect(machine.clock.monotonicMs()).toBe(beforeMs + 4450);
-    machine.setForwardMs = -2000;
-    expect(machine.clock.monotonicMs()).toBe(beforeMs + 4450);
-    machine.suspend(3000);
-    machine.setForwardMs = 2500;
-    expect(machine.clock.monotonicMs()).toBe(beforeMs + 7450);
-    // One that a step hides is seen within a second.
-    const cancel = machine.clock.every(500, () => undefined);
-    machine.suspend(3000);
-    machine.setForwardMs = -500;
+    expect(host.clock.monotonicMs()).toBe(beforeMs + 4450);
+    // A step of the wall clock does not count, alone or together with a suspension.
+    host.wallStepMs = 5000;
+    expect(host.clock.monotonicMs()).toBe(beforeMs + 4450);
+    host.wallStepMs = -2000;
+    expect(host.clock.monotonicMs()).toBe(beforeMs + 4450);
+    host.suspend(3000);
+    host.wallStepMs = 2500;
+    expect(host.clock.monotonicMs()).toBe(beforeMs + 7450);
+    // A suspension that is hidden by a step is detected within a second.
+    const cancel = host.clock.every(500, () => undefined);
+    host.suspend(3000);
+    host.wallStepMs = -500;
     vi.advanceTimersByTime(1000);
-    expect(machine.clock.monotonicMs()).toBe(beforeMs + 11_450);
+    expect(host.clock.monotonicMs()).toBe(beforeMs + 11_450);
     cancel();
   });
 
-  it('calls at once what was due while its machine was suspended, and the rest in time', () => {
-    const machine = new Machine();
+  it('runs timers that came due during a suspension at once, and the others on time', () => {
+    const host = new SuspendableHost();
     const called: string[] = [];
-    machine.clock.monotonicMs();
-    machine.clock.after(2000, () => called.push('due'));
-    machine.clock.after(6000, () => called.push('later'));
-    const cancel = machine.clock.after(1000, () => called.push('cancelled'));
+    host.clock.monotonicMs();
+    host.clock.after(2000, () => called.push('due'));
+    host.clock.after(6000, () => called.push('later'));
+    const cancel = host.clock.after(1000, () => called.push('cancelled'));
     cancel();
-    const cancelEvery = machine.clock.every(3000, () => called.push('every'));
-    machine.suspend(4000);
-    machine.clock.monotonicMs();
+    const cancelEvery = host.clock.every(3000, () => called.push('every'));
+    host.suspend(4000);
+    host.clock.monotonicMs();
     vi.advanceTimersByTime(1);
     expect(called).toEqual(['due', 'every']);
     vi.advanceTimersByTime(1999);
--- a/packages/core/src/result-codes.test.ts
+++ b/packages/core/src/result-codes.test.ts
@@ -3,7 +3,7 @@
 import { newOwner, newRequestId, formatOwner, parseOwner, parseRequestId } from './identifiers.js';
 import { RESULT_CODES } from './result-codes.js';
 
-const OUTCOME_RANGES = [
+const OUTCOME_BY_RANGE = [
   ['not_run', 1000],
   ['not_run', 2000],
   ['ran', 3000],
@@ -11,7 +11,7 @@
 ] as const;
 
 describe('result codes', () => {
-  it('are listed in docs/RESULT-CODES.md as they are', () => {
+  it('match the table in docs/RESULT-CODES.md', () => {
     const page = readFileSync(new URL('../../../docs/RESULT-CODES.md', import.meta.url), 'utf8');
     const rows = page.split('\n').filter((line) => /^\| \d/.test(line));
     const cells = rows.map((row) =>
@@ -30,10 +30,10 @@
     expect(cells).toEqual(expected);
   });
 
-  it('have one number each, and one outcome for each range', () => {
+  it('have unique numbers and one outcome per range', () => {
     const codes = Object.values(RESULT_CODES);
     expect(new Set(codes.map((code) => code.number)).size).toBe(codes.length);
-    for (const [outcome, from] of OUTCOME_RANGES) {
+    for (const [outcome, from] of OUTCOME_BY_RANGE) {
       const inRange = codes.filter(({ number }) => number >= from && number < from + 1000);
       for (const code of inRange) expect(code.outcome).toBe(outcome);
     }
@@ -41,7 +41,7 @@
 });
 
 describe('identifiers', () => {
-  it('can be read back', () => {
+  it('are parsed back to the values that they were formatted from', () => {
     const owner = newOwner('host-1');
     expect(parseOwner(formatOwner(owner))).toEqual(owner);
     expect(parseRequestId(newRequestId('host-1', 1_796_213_661_452))).toEqual({
--- a/packages/hashing/src/rendezvous.ts
+++ b/packages/hashing/src/rendezvous.ts
@@ -8,14 +8,14 @@
   readonly weight: bigint;
 }
 
-function compare<Item>(a: Ranked<Item>, b: Ranked<Item>): number {
+function compareRanked<Item>(a: Ranked<Item>, b: Ranked<Item>): number {
   if (a.weight !== b.weight) return a.weight > b.weight ? -1 : 1;
   return a.name.localeCompare(b.name);
 }
 
 /**
- * Items in rendezvous order for `key`: the same on every host, and when an item comes or goes
- * the others keep their order. Highest-random-weight hashing (Thaler and Ravishankar, 1998).
+ * Sorts items in rendezvous order for `key`. The order is the same on every host, and if an item is added or
+ * removed the others keep their order. Highest-random-weight hashing (Thaler and Ravishankar, 1998).
  */
 export function rendezvousOrder<Item>(
   key: string,
@@ -25,6 +25,6 @@
   const seed = h64(key);
   return items
     .map((item) => ({ item, name: nameOf(item), weight: h64(nameOf(item), seed) }))
-    .sort(compare)
+    .sort(compareRanked)
     .map((ranked) => ranked.item);
 }
--- a/packages/objects/src/validate.ts
+++ b/packages/objects/src/validate.ts
@@ -7,7 +7,7 @@
 import { isUnsatisfiable, matchesSelector } from './selector.js';
 import type { Selector } from './selector.js';
 
-/** A wrong field: where it is and what is wrong. */
+/** An invalid field: its path and what is wrong with it. */
 export interface FieldProblem {
   readonly path: string;
   readonly problem: string;
@@ -20,7 +20,7 @@
   }));
 }
 
-/** Checks objects as a whole: either all are returned with defaults, or every wrong field. */
+/** Validates all objects. Returns either all of them with defaults filled in, or every invalid field. */
 export function parseObjects(
   values: readonly unknown[],
 ): Result<readonly ConfigObject[], readonly FieldProblem[]> {
@@ -42,7 +42,7 @@
   return problems.length > 0 ? Result.err(problems) : Result.ok(objects);
 }
 
-function warnSelector(
+function selectorWarnings(
   where: string,
   selector: Selector,
   candidates: readonly Labels[],
@@ -57,15 +57,17 @@
   const pools = configuration.list('pool').map((pool) => pool.object.labels);
   switch (object.kind) {
     case 'rule': {
-      const never = isUnsatisfiable(object.spec.traffic) ? [`${id}: traffic can never match`] : [];
-      if (object.spec.action === 'refuse') return never;
-      return [...never, ...warnSelector(`${id}: pools`, object.spec.pools, pools)];
+      const trafficWarnings = isUnsatisfiable(object.spec.traffic)
+        ? [`${id}: traffic can never match`]
+        : [];
+      if (object.spec.action === 'refuse') return trafficWarnings;
+      return [...trafficWarnings, ...selectorWarnings(`${id}: pools`, object.spec.pools, pools)];
     }
     case 'model':
-      return warnSelector(`${id}: pools`, object.spec.pools, pools);
+      return selectorWarnings(`${id}: pools`, object.spec.pools, pools);
     case 'pool': {
       const servers = configuration.list('backend-server').map((server) => server.object.labels);
-      return warnSelector(`${id}: members`, object.spec.members, servers);
+      return selectorWarnings(`${id}: members`, object.spec.members, servers);
     }
     case 'request-class':
       return isUnsatisfiable(object.spec.traffic) ? [`${id}: traffic can never match`] : [];
@@ -78,7 +80,7 @@
   }
 }
 
-/** What an operator should look at in `objects` once `configuration` holds them. */
+/** Returns warnings for the operator about `objects`, which `configuration` already contains. */
 export function findWarnings(
   objects: readonly ConfigObject[],
   configuration: Configuration,
--- a/packages/peer/src/membership.ts
+++ b/packages/peer/src/membership.ts
@@ -1,38 +1,38 @@
 import type { Clock, Milliseconds } from '@poppypond/core';
 import type { Member, MemberGossip } from './messages.js';
 
-const MAX_REMOVED = 10_000;
+const MAX_REMOVED_INCARNATIONS = 10_000;
 
-/** `suspect`: not heard of for a while, not removed yet. */
+/** `suspect`: silent for longer than `suspectAfterMs`, but not removed yet. */
 export type MemberState = 'alive' | 'suspect';
 
-/** A member and what is believed of it. */
+/** A member and its state as seen by this host. */
 export interface KnownMember {
   readonly member: Member;
   readonly state: MemberState;
-  /** Since it was last heard of, by itself or through others. */
+  /** Time since the last message from the member or the last newer heartbeat reported by others. */
   readonly silentMs: Milliseconds;
 }
 
 interface Entry {
   readonly member: Member;
   readonly beat: number;
-  readonly heardAtMs: Milliseconds;
+  readonly lastHeardAtMs: Milliseconds;
 }
 
-/** Times that decide about members. */
+/** Timeouts of the failure detection. */
 export interface MembershipTimes {
   readonly suspectAfterMs: Milliseconds;
   readonly removeAfterMs: Milliseconds;
 }
 
-/** The hosts that this host has heard of. A hint: no safety rests on it. */
+/** The hosts that this host knows of. Only a hint: no safety property depends on it. */
 export class Membership {
   readonly #entries = new Map<string, Entry>();
-  /** Incarnation of a removed run to its last heartbeat. */
-  readonly #removed = new Map<string, number>();
-  /** Which entry comes next in the news for each receiver. */
-  readonly #nextNews = new Map<string, number>();
+  /** The last heartbeat number of each removed incarnation. */
+  readonly #lastBeatOfRemoved = new Map<string, number>();
+  /** Index of the entry that comes next in the gossip, by receiver. */
+  readonly #nextGossipIndex = new Map<string, number>();
 
   constructor(
     readonly self: Member,
@@ -40,63 +40,63 @@
     readonly clock: Clock,
   ) {}
 
-  /** Notes that a member itself was heard. */
+  /** Records that a message from the member itself has arrived. */
   recordContact(member: Member, beat: number): void {
     const known = this.#entries.get(member.host);
-    const isSameRun = known?.member.incarnation === member.incarnation;
-    const newest = isSameRun ? Math.max(known.beat, beat) : beat;
-    this.#put(member, newest);
+    const isSameIncarnation = known?.member.incarnation === member.incarnation;
+    const newestBeat = isSameIncarnation ? Math.max(known.beat, beat) : beat;
+    this.#update(member, newestBeat);
   }
 
   /**
-   * Notes what another host passes on. Only a newer heartbeat counts, so that hosts don't keep
-   * each other believing in one that is gone; another run counts once the known one is silent.
+   * Records an entry that another host has forwarded. Only a newer heartbeat counts, so that hosts do not keep a dead
+   * host alive by forwarding it to each other. Another incarnation counts once the known one is suspect.
    */
   recordGossip({ member, beat }: MemberGossip): void {
     const known = this.#entries.get(member.host);
-    if (!known) return this.#put(member, beat);
-    const isSameRun = known.member.incarnation === member.incarnation;
-    if (isSameRun && beat > known.beat) return this.#put(member, beat);
-    const silentMs = this.clock.monotonicMs() - known.heardAtMs;
-    if (!isSameRun && silentMs > this.times.suspectAfterMs) this.#put(member, beat);
+    if (!known) return this.#update(member, beat);
+    const isSameIncarnation = known.member.incarnation === member.incarnation;
+    if (isSameIncarnation && beat > known.beat) return this.#update(member, beat);
+    const silentMs = this.clock.monotonicMs() - known.lastHeardAtMs;
+    if (!isSameIncarnation && silentMs > this.times.suspectAfterMs) this.#update(member, beat);
   }
 
-  #put(member: Member, beat: number): void {
-    if (member.host === this.self.host || this.#isForgotten(member, beat)) return;
-    this.#entries.set(member.host, { member, beat, heardAtMs: this.clock.monotonicMs() });
+  #update(member: Member, beat: number): void {
+    if (member.host === this.self.host || this.#isStale(member, beat)) return;
+    this.#entries.set(member.host, { member, beat, lastHeardAtMs: this.clock.monotonicMs() });
   }
 
-  /** A removed run comes back only with a newer heartbeat than it was removed with. */
-  #isForgotten(member: Member, beat: number): boolean {
-    return beat <= (this.#removed.get(member.incarnation) ?? -1);
+  /** A removed incarnation is added again only with a newer heartbeat than the one it was removed with. */
+  #isStale(member: Member, beat: number): boolean {
+    return beat <= (this.#lastBeatOfRemoved.get(member.incarnation) ?? -1);
   }
 
   /**
-   * News about a few members for one receiver, taken in turn. With one turn for all receivers, 11
-   * members and 11 links had each receiver told of the same four for ever.
+   * Returns gossip about the next `count` members for one receiver, in rotation. Each receiver has its own position:
+   * with a common one, 11 members and 11 links, each receiver would always get the same four members.
    */
   nextGossip(receiver: string, count: number): readonly MemberGossip[] {
     const all = [...this.#entries.values()];
-    const first = this.#nextNews.get(receiver) ?? 0;
+    const firstIndex = this.#nextGossipIndex.get(receiver) ?? 0;
     const news = Array.from({ length: Math.min(count, all.length) }, (_, index) => {
-      const entry = all[(first + index) % all.length];
+      const entry = all[(firstIndex + index) % all.length];
       return entry ? [{ member: entry.member, beat: entry.beat }] : [];
     });
-    this.#nextNews.set(receiver, (first + count) % Math.max(1, all.length));
+    this.#nextGossipIndex.set(receiver, (firstIndex + count) % Math.max(1, all.length));
     return news.flat();
   }
 
-  /** News about every member. */
+  /** Returns gossip about all members. */
   allGossip(): readonly MemberGossip[] {
     return [...this.#entries.values()].map(({ member, beat }) => ({ member, beat }));
   }
 
-  /** Known members; those silent for too long are removed. */
+  /** Returns the known members, after removing those that have been silent for too long. */
   list(): readonly KnownMember[] {
     const now = this.clock.monotonicMs();
     const known: KnownMember[] = [];
-    for (const [host, { member, heardAtMs }] of this.#entries) {
-      const silentMs = now - heardAtMs;
+    for (const [host, { member, lastHeardAtMs }] of this.#entries) {
+      const silentMs = now - lastHeardAtMs;
       if (silentMs > this.times.removeAfterMs) this.#remove(host);
       else {
         const state = silentMs > this.times.suspectAfterMs ? 'suspect' : 'alive';
@@ -110,9 +110,9 @@
     const entry = this.#entries.get(host);
     if (!entry) return;
     this.#entries.delete(host);
-    this.#nextNews.delete(host);
-    if (this.#removed.size > MAX_REMOVED) this.#removed.clear();
-    this.#removed.set(entry.member.incarnation, entry.beat);
+    this.#nextGossipIndex.delete(host);
+    if (this.#lastBeatOfRemoved.size > MAX_REMOVED_INCARNATIONS) this.#lastBeatOfRemoved.clear();
+    this.#lastBeatOfRemoved.set(entry.member.incarnation, entry.beat);
   }
 
   find(host: string): Member | undefined {
--- a/packages/settings/src/program.ts
+++ b/packages/settings/src/program.ts
@@ -3,25 +3,25 @@
 import { describeSettings, findUnknownVariable, loadSettings } from './settings.js';
 import type { SettingsShape } from './settings.js';
 
-/** Exit code for a wrong command line or setting. */
+/** Exit code for an invalid command line or setting. */
 export const EXIT_BAD_SETTINGS = 2;
 
 /** One command of a program. */
 export interface ProgramCommand {
-  /** Words after the program's name; empty for its only command. */
+  /** Command words after the program's name; empty for a program with a single command. */
   readonly path: readonly string[];
   readonly description: string;
   readonly shape: SettingsShape;
-  /** Runs the command; the number is the exit code, the string says which setting is wrong. */
+  /** Runs the command. Resolves to the exit code, or to a message if a setting is invalid. */
   run(flags: Readonly<Record<string, unknown>>): Promise<number | string>;
 }
 
-/** Makes a command whose settings are checked before `main` starts. */
+/** Creates a command whose settings are validated before `main` is called. */
 export function defineCommand<Shape extends SettingsShape>(options: {
   readonly path?: readonly string[];
   readonly description: string;
   readonly shape: Shape;
-  /** The number is the exit code, the string says why it could not start with these settings. */
+  /** Resolves to the exit code, or to a message why the program cannot start with these settings. */
   readonly main: (settings: z.infer<z.ZodObject<Shape>>) => Promise<number | string>;
 }): ProgramCommand {
   return {
@@ -35,17 +35,17 @@
   };
 }
 
-function isFlag(schema: z.ZodType): boolean {
+function isBooleanSchema(schema: z.ZodType): boolean {
   return schema.safeParse(true).success && schema.safeParse('yes').success;
 }
 
-function optionFor(schema: z.ZodType, flag: string, description: string): unknown {
-  return isFlag(schema)
+function createOption(schema: z.ZodType, flag: string, description: string): unknown {
+  return isBooleanSchema(schema)
     ? Option.Boolean(flag, { description })
     : Option.String(flag, { description });
 }
 
-function toClipanion(binary: string, command: ProgramCommand) {
+function createClipanionCommand(binary: string, command: ProgramCommand) {
   const settings = describeSettings(command.shape);
   return class extends Command {
     static override paths = [command.path.length > 0 ? [...command.path] : Command.Default];
@@ -58,7 +58,7 @@
       super();
       for (const { key, flag, env, help } of settings) {
         const schema = command.shape[key];
-        if (schema) Object.assign(this, { [key]: optionFor(schema, flag, `${help} [${env}]`) });
+        if (schema) Object.assign(this, { [key]: createOption(schema, flag, `${help} [${env}]`) });
       }
     }
 
@@ -72,7 +72,7 @@
   };
 }
 
-function oneLine(error: unknown): string {
+function firstLineOf(error: unknown): string {
   const text = error instanceof Error ? error.message : String(error);
   const line = text
     .split('\n')
@@ -81,7 +81,7 @@
   return line ?? 'failed';
 }
 
-/** A flag that no command knows, as one line; undefined if there is none. */
+/** Returns a one-line error for the first flag that no command knows, or undefined if there is none. */
 function findUnknownFlag(
   args: readonly string[],
   commands: readonly ProgramCommand[],
@@ -95,13 +95,13 @@
   return unknown === undefined ? undefined : `${unknown}: unknown setting`;
 }
 
-function isUsageProblem(error: unknown): boolean {
+function isUsageError(error: unknown): boolean {
   return error instanceof Error && (error instanceof UsageError || 'clipanion' in error);
 }
 
 /**
- * Runs a program: picks the command, checks its settings, sets the exit code.
- * A wrong command line or setting is one line on standard error and exit code 2.
+ * Runs a program: selects the command, validates its settings and sets the exit code.
+ * For an invalid command line or setting, prints one line to standard error and sets exit code 2.
  */
 export async function runProgram(
   binary: string,
@@ -110,7 +110,7 @@
 ): Promise<void> {
   const cli = new Cli({ binaryName: binary, binaryLabel: binary, enableCapture: false });
   cli.register(Builtins.HelpCommand);
-  for (const command of commands) cli.register(toClipanion(binary, command));
+  for (const command of commands) cli.register(createClipanionCommand(binary, command));
   const known = new Set(
     commands.flatMap((command) => describeSettings(command.shape).map(({ env }) => env)),
   );
@@ -120,8 +120,8 @@
     const command = cli.process([...args], Cli.defaultContext);
     process.exitCode = await cli.run(command, Cli.defaultContext);
   } catch (error) {
-    const prefix = isUsageProblem(error) ? '' : 'failed: ';
-    process.stderr.write(`${binary}: ${prefix}${oneLine(error)}\n`);
-    process.exitCode = isUsageProblem(error) ? EXIT_BAD_SETTINGS : 1;
+    const prefix = isUsageError(error) ? '' : 'failed: ';
+    process.stderr.write(`${binary}: ${prefix}${firstLineOf(error)}\n`);
+    process.exitCode = isUsageError(error) ? EXIT_BAD_SETTINGS : 1;
   }
 }
--- a/packages/settings/src/settings.ts
+++ b/packages/settings/src/settings.ts
@@ -8,12 +8,12 @@
 /** A settings schema: one key for each setting, in camel case, with `.describe()` as its help. */
 export type SettingsShape = Readonly<Record<string, z.ZodType>>;
 
-/** How one setting is given and explained. */
+/** The names and the help text of one setting. */
 export interface SettingHelp {
   readonly key: string;
-  /** `--listen-port`. */
+  /** Command line flag, e.g. `--listen-port`. */
   readonly flag: string;
-  /** `POPPYPOND_LISTEN_PORT`. */
+  /** Environment variable, e.g. `POPPYPOND_LISTEN_PORT`. */
   readonly env: string;
   readonly help: string;
 }
@@ -22,7 +22,7 @@
   return key.split(/(?=[A-Z])/).map((word) => word.toLowerCase());
 }
 
-/** Lists the settings of a schema. */
+/** Returns the names and help texts of the settings in a schema. */
 export function describeSettings(shape: SettingsShape): readonly SettingHelp[] {
   return Object.entries(shape).map(([key, schema]) => {
     const words = splitWords(key);
@@ -35,7 +35,7 @@
   });
 }
 
-function firstProblem(error: z.ZodError, settings: readonly SettingHelp[]): string {
+function formatFirstIssue(error: z.ZodError, settings: readonly SettingHelp[]): string {
   const issue = error.issues[0];
   const key = String(issue?.path[0]);
   const setting = settings.find((candidate) => candidate.key === key);
@@ -43,7 +43,7 @@
   return `${name}: ${issue?.message ?? 'invalid'}`;
 }
 
-function readFileOf(
+function readConfiguredFile(
   settings: readonly SettingHelp[],
   flags: Readonly<Record<string, unknown>>,
   environment: Readonly<Record<string, string | undefined>>,
@@ -54,9 +54,9 @@
 }
 
 /**
- * Checks settings. A flag wins over the environment variable, which wins over the settings file
- * of a program that takes one, which wins over the default. The error is one line that names the
- * setting.
+ * Validates settings. A flag takes precedence over the environment variable, which takes precedence
+ * over the settings file (if the program supports one), which takes precedence over the default.
+ * The error is one line that names the setting.
  */
 export function loadSettings<Shape extends SettingsShape>(
   shape: Shape,
@@ -64,17 +64,17 @@
   environment: Readonly<Record<string, string | undefined>>,
 ): Result<z.infer<z.ZodObject<Shape>>, string> {
   const settings = describeSettings(shape);
-  const file = readFileOf(settings, flags, environment);
+  const file = readConfiguredFile(settings, flags, environment);
   if (file.isErr) return Result.err(file.error);
   const valueOf = ({ key, env }: SettingHelp) => flags[key] ?? environment[env] ?? file.value[key];
-  const given = settings.map((setting) => [setting.key, valueOf(setting)] as const);
-  const present = given.filter(([, value]) => value !== undefined);
+  const entries = settings.map((setting) => [setting.key, valueOf(setting)] as const);
+  const present = entries.filter(([, value]) => value !== undefined);
   const parsed = z.object(shape).safeParse(Object.fromEntries(present));
-  if (!parsed.success) return Result.err(firstProblem(parsed.error, settings));
+  if (!parsed.success) return Result.err(formatFirstIssue(parsed.error, settings));
   return Result.ok(parsed.data);
 }
 
-/** An unknown `POPPYPOND_` variable, as one line; undefined if there is none. */
+/** Returns a one-line error for the first unknown `POPPYPOND_` variable, or undefined if there is none. */
 export function findUnknownVariable(
   known: ReadonlySet<string>,
   environment: Readonly<Record<string, string | undefined>>,
--- a/packages/telemetry/src/bounded-output.test.ts
+++ b/packages/telemetry/src/bounded-output.test.ts
@@ -2,11 +2,11 @@
 import { describe, expect, it } from 'vitest';
 import { BoundedOutput } from './bounded-output.js';
 
-const droppedLine = (counts: Readonly<Record<string, number>>) =>
+const formatDroppedLine = (counts: Readonly<Record<string, number>>) =>
   `dropped=${JSON.stringify(counts)}\n`;
 
 describe('BoundedOutput', () => {
-  it('keeps important lines when ordinary ones are over the limit, and counts what it drops', async () => {
+  it('keeps important lines if ordinary ones exceed the limit, and counts dropped lines', async () => {
     const clock = new ManualClock();
     const written: string[] = [];
     const output = new BoundedOutput(
@@ -15,7 +15,7 @@
         written.push(text);
         done();
       },
-      droppedLine,
+      formatDroppedLine,
       { linesPerSecond: 10, bufferedCharacters: 1000 },
     );
     for (let index = 0; index < 20; index += 1) output.writeLine('o\n', 'ordinary');
@@ -27,7 +27,7 @@
     expect(text).toContain('dropped={"ordinary":13,"important":2}');
   });
 
-  it('goes on without growing when the reader has stopped', async () => {
+  it('does not block or grow if the reader has stalled', async () => {
     const clock = new ManualClock();
     let writes = 0;
     const output = new BoundedOutput(
@@ -35,7 +35,7 @@
       () => {
         writes += 1;
       },
-      droppedLine,
+      formatDroppedLine,
       { linesPerSecond: 1000, bufferedCharacters: 100 },
     );
     for (let second = 0; second < 50; second += 1) {
--- a/packages/telemetry/src/bounded-output.ts
+++ b/packages/telemetry/src/bounded-output.ts
@@ -1,34 +1,34 @@
 import type { Clock, Milliseconds } from '@poppypond/core';
 import { write as writeDescriptor } from 'node:fs';
 
-/** Writes `text` somewhere and calls back when it is taken, or could not be. */
+/** Writes `text` and calls `done` when the text was written or the write has failed. */
 export type OutputWrite = (text: string, done: () => void) => void;
 
-/** Lines about requests that failed or were refused, and changes of belief, are dropped last. */
+/** Importance of a line. Failed or refused requests and state changes are important and dropped last. */
 export type LineImportance = 'ordinary' | 'important';
 
-/** How much may be written and kept. */
+/** Limits on the rate of the output and on its buffer. */
 export interface OutputLimits {
-  /** Lines a second; more are dropped and counted. */
+  /** Maximum lines per second; more are dropped and counted. */
   readonly linesPerSecond: number;
-  /** Characters that wait for a slow reader; more are dropped and counted. */
+  /** Maximum characters buffered for a slow reader; more are dropped and counted. */
   readonly bufferedCharacters: number;
 }
 
-/** Enough for three lines of each of 200 requests a second. */
+/** Sufficient for three lines for each of 200 requests per second. */
 export const DEFAULT_OUTPUT_LIMITS: OutputLimits = {
   linesPerSecond: 600,
   bufferedCharacters: 512 * 1024,
 };
 
 const REPORT_PERIOD_MS: Milliseconds = 1000;
-/** Lines of several requests go out in one write. */
-const GATHER_MS: Milliseconds = 20;
-/** Share of each limit that ordinary lines may use. */
+/** Lines are collected for this long, so that those of several requests go out in one write. */
+const BATCH_DELAY_MS: Milliseconds = 20;
+/** Fraction of each limit that ordinary lines may use. */
 const ORDINARY_SHARE = 0.7;
 const STANDARD_OUTPUT = 1;
 
-/** Writes to standard output from the thread pool, so that a reader that stopped blocks nothing. */
+/** Writes to standard output from the thread pool, so that a stalled reader does not block the event loop. */
 export const writeStandardOutput: OutputWrite = (text, done) => {
   const bytes = Buffer.from(text, 'utf8');
   const writeFrom = (offset: number): void => {
@@ -47,80 +47,80 @@
   writeFrom(0);
 };
 
-/** Passes lines on within limits; never blocks and never grows without bound. */
+/** Forwards lines within limits. Never blocks, and uses a bounded amount of memory. */
 export class BoundedOutput {
-  #waiting: string[] = [];
-  #waitingCharacters = 0;
+  #pendingLines: string[] = [];
+  #pendingCharacters = 0;
   #isWriting = false;
-  #isGathering = false;
-  #linesThisSecond = 0;
+  #isFlushScheduled = false;
+  #linesThisPeriod = 0;
   #onIdle: (() => void) | undefined;
   readonly #dropped = new Map<LineImportance, number>();
 
   constructor(
     readonly clock: Clock,
     readonly write: OutputWrite,
-    /** Makes the line that tells how many were dropped in the last second. */
-    readonly droppedLine: (counts: Readonly<Record<string, number>>) => string,
+    /** Formats the line that reports how many lines of each importance were dropped in the last second. */
+    readonly formatDroppedLine: (counts: Readonly<Record<string, number>>) => string,
     readonly limits: OutputLimits = DEFAULT_OUTPUT_LIMITS,
   ) {
     clock.every(REPORT_PERIOD_MS, () => {
-      this.#endSecond();
+      this.#startNextPeriod();
     });
   }
 
-  /** Takes a line, or drops and counts it. */
+  /** Queues a line, or drops and counts it if a limit is exceeded. */
   writeLine(text: string, importance: LineImportance): void {
     const share = importance === 'ordinary' ? ORDINARY_SHARE : 1;
-    const isOver =
-      this.#linesThisSecond >= this.limits.linesPerSecond * share ||
-      this.#waitingCharacters + text.length > this.limits.bufferedCharacters * share;
-    if (isOver) {
+    const exceedsLimits =
+      this.#linesThisPeriod >= this.limits.linesPerSecond * share ||
+      this.#pendingCharacters + text.length > this.limits.bufferedCharacters * share;
+    if (exceedsLimits) {
       this.#dropped.set(importance, (this.#dropped.get(importance) ?? 0) + 1);
       return;
     }
-    this.#linesThisSecond += 1;
-    this.#add(text);
+    this.#linesThisPeriod += 1;
+    this.#enqueue(text);
   }
 
-  /** Resolves when everything is written, or after `limitMs` with a reader that stopped. */
-  drain(limitMs: Milliseconds): Promise<void> {
+  /** Resolves when all lines are written, or after `timeoutMs` if the reader has stalled. */
+  drain(timeoutMs: Milliseconds): Promise<void> {
     this.#flush();
     if (!this.#isWriting) return Promise.resolve();
     return new Promise((resolve) => {
       this.#onIdle = resolve;
-      this.clock.after(limitMs, resolve);
+      this.clock.after(timeoutMs, resolve);
     });
   }
 
-  #add(text: string): void {
-    this.#waiting.push(text);
-    this.#waitingCharacters += text.length;
-    if (this.#isGathering || this.#isWriting) return;
-    this.#isGathering = true;
-    this.clock.after(GATHER_MS, () => {
-      this.#isGathering = false;
+  #enqueue(text: string): void {
+    this.#pendingLines.push(text);
+    this.#pendingCharacters += text.length;
+    if (this.#isFlushScheduled || this.#isWriting) return;
+    this.#isFlushScheduled = true;
+    this.clock.after(BATCH_DELAY_MS, () => {
+      this.#isFlushScheduled = false;
       this.#flush();
     });
   }
 
   #flush(): void {
-    if (this.#isWriting || this.#waiting.length === 0) return;
-    const text = this.#waiting.join('');
-    this.#waiting = [];
+    if (this.#isWriting || this.#pendingLines.length === 0) return;
+    const text = this.#pendingLines.join('');
+    this.#pendingLines = [];
     this.#isWriting = true;
     this.write(text, () => {
       this.#isWriting = false;
-      this.#waitingCharacters -= text.length;
-      if (this.#waiting.length > 0) this.#flush();
+      this.#pendingCharacters -= text.length;
+      if (this.#pendingLines.length > 0) this.#flush();
       else this.#onIdle?.();
     });
   }
 
-  #endSecond(): void {
-    this.#linesThisSecond = 0;
+  #startNextPeriod(): void {
+    this.#linesThisPeriod = 0;
     if (this.#dropped.size === 0) return;
-    this.#add(this.droppedLine(Object.fromEntries(this.#dropped)));
+    this.#enqueue(this.formatDroppedLine(Object.fromEntries(this.#dropped)));
     this.#dropped.clear();
   }
 }
--- a/packages/telemetry/src/log.ts
+++ b/packages/telemetry/src/log.ts
@@ -1,9 +1,9 @@
 import { Logger } from 'tslog';
 
-/** A value of one key in a log line. */
+/** The value of a field in a log line. */
 export type LogValue = string | number | boolean | undefined;
 
-/** The keys of a log line besides `time`, `level`, `event` and those of the program. */
+/** Fields of a log line besides `time`, `level`, `event` and the common fields of the program. */
 export type LogFields = Readonly<Record<string, LogValue>>;
 
 /** Writes one line of key=value pairs for each event. */
@@ -16,28 +16,31 @@
 
 const TSLOG_LEVELS = { debug: 2, info: 3, warn: 4, error: 5 } as const;
 
-/** The levels a log can be set to, least important first. */
+/** The levels of a log, least severe first. */
 export type LogLevel = keyof typeof TSLOG_LEVELS;
 
 function isLogLevel(name: string | undefined): name is LogLevel {
   return name !== undefined && name in TSLOG_LEVELS;
 }
 
-function valueText(value: string | number | boolean): string {
+function formatValue(value: string | number | boolean): string {
   const text = String(value);
   return /^[\w.:/@+-]+$/.test(text) ? text : JSON.stringify(text);
 }
 
-/** `key=value` pairs with quotes where a value holds anything but plain characters. */
+/**
+ * Formats `key=value` pairs. A value with other characters than letters, digits and `_ . : / @ + -` is quoted, and
+ * an undefined one is omitted.
+ */
 export function formatFields(fields: LogFields): string {
   const parts: string[] = [];
   for (const [key, value] of Object.entries(fields)) {
-    if (value !== undefined) parts.push(`${key}=${valueText(value)}`);
+    if (value !== undefined) parts.push(`${key}=${formatValue(value)}`);
   }
   return parts.join(' ');
 }
 
-/** A log whose lines all carry `common`, written to standard error unless `write` is given. */
+/** Creates a log that adds `common` to each line. Lines go to standard error unless `write` is given. */
 export function createLog(
   common: LogFields,
   level: LogLevel = 'info',
@@ -46,21 +49,25 @@
   const logger = new Logger<LogFields>({
     type: 'hidden',
     minLevel: TSLOG_LEVELS[level],
-    // Finding the caller's line takes a stack trace for each line.
+    // Logging the position of the call would need a stack trace for each line.
     hideLogPositionForProduction: true,
   });
   logger.attachTransport((entry) => {
     const { _meta, ...fields } = entry;
     const name = _meta?.logLevelName.toLowerCase();
-    const head = { time: _meta?.date.toISOString(), level: name };
-    write(`${formatFields({ ...head, ...fields })}\n`, isLogLevel(name) ? name : 'info');
+    const header = { time: _meta?.date.toISOString(), level: name };
+    write(`${formatFields({ ...header, ...fields })}\n`, isLogLevel(name) ? name : 'info');
+  });
+  const withCommonFields = (event: string, fields: LogFields = {}) => ({
+    event,
+    ...common,
+    ...fields,
   });
-  const line = (event: string, fields: LogFields = {}) => ({ event, ...common, ...fields });
   return {
-    debug: (event, fields) => logger.debug(line(event, fields)),
-    info: (event, fields) => logger.info(line(event, fields)),
-    warn: (event, fields) => logger.warn(line(event, fields)),
-    error: (event, fields) => logger.error(line(event, fields)),
+    debug: (event, fields) => logger.debug(withCommonFields(event, fields)),
+    info: (event, fields) => logger.info(withCommonFields(event, fields)),
+    warn: (event, fields) => logger.warn(withCommonFields(event, fields)),
+    error: (event, fields) => logger.error(withCommonFields(event, fields)),
   };
 }
 
--- a/packages/telemetry/src/measures.ts
+++ b/packages/telemetry/src/measures.ts
@@ -1,12 +1,12 @@
 import { Counter, Gauge, Histogram, Registry } from 'prom-client';
 
-interface MeasureEntry {
+interface PrometheusMetricEntry {
   readonly type: 'counter' | 'gauge' | 'histogram';
   readonly help: string;
   readonly labels: readonly string[];
 }
 
-/** What a relay counts, for its metrics address. Names and labels are stable; docs/METRICS.md. */
+/** The metrics of a relay, served on its metrics port. Names and labels are stable; see docs/METRICS.md. */
 export const PROMETHEUS_METRICS = {
   poppypond_requests_total: {
     type: 'counter',
@@ -120,9 +120,9 @@
     labels: ['kind'],
   },
   poppypond_peers: { type: 'gauge', help: 'Other hosts heard from lately.', labels: [] },
-} as const satisfies Record<string, MeasureEntry>;
+} as const satisfies Record<string, PrometheusMetricEntry>;
 
-type MeasuresOf<Type extends MeasureEntry['type']> = {
+type MetricNamesOf<Type extends PrometheusMetricEntry['type']> = {
   [Name in keyof typeof PROMETHEUS_METRICS]: (typeof PROMETHEUS_METRICS)[Name]['type'] extends Type
     ? Name
     : never;
@@ -131,10 +131,13 @@
 /** Label values by label name. */
 export type PrometheusLabels = Readonly<Record<string, string>>;
 
-/** Milliseconds; the figures of today's objectives are bounds, so that shares can be read off. */
+/**
+ * Upper bounds in milliseconds. They include the values of the latency objectives, so that the share of requests
+ * within an objective can be read from a bucket.
+ */
 const BUCKETS_MS = [5, 10, 25, 50, 100, 150, 200, 300, 500, 800, 1500, 3000, 5000, 10_000, 15_000];
 
-/** Counts and measures of one process, read as Prometheus text. */
+/** Prometheus metrics of one process. */
 export class PrometheusMetrics {
   readonly #registry = new Registry();
   readonly #counters = new Map<string, Counter>();
@@ -150,27 +153,27 @@
     }
   }
 
-  count(name: MeasuresOf<'counter'>, labels: PrometheusLabels, by = 1): void {
+  count(name: MetricNamesOf<'counter'>, labels: PrometheusLabels, by = 1): void {
     this.#counters.get(name)?.inc({ ...labels }, by);
   }
 
-  set(name: MeasuresOf<'gauge'>, value: number): void {
+  set(name: MetricNamesOf<'gauge'>, value: number): void {
     this.#gauges.get(name)?.set(value);
   }
 
-  /** Sets a gauge for each value of its one label, and drops all others. */
-  replaceSeries(name: MeasuresOf<'gauge'>, values: ReadonlyMap<string, number>): void {
+  /** Sets a gauge for each value of its only label, and removes its other series. */
+  replaceSeries(name: MetricNamesOf<'gauge'>, values: ReadonlyMap<string, number>): void {
     const gauge = this.#gauges.get(name);
     const [label = ''] = PROMETHEUS_METRICS[name].labels;
     gauge?.reset();
-    for (const [labelled, value] of values) gauge?.set({ [label]: labelled }, value);
+    for (const [labelValue, value] of values) gauge?.set({ [label]: labelValue }, value);
   }
 
-  observe(name: MeasuresOf<'histogram'>, milliseconds: number, labels: PrometheusLabels): void {
+  observe(name: MetricNamesOf<'histogram'>, milliseconds: number, labels: PrometheusLabels): void {
     this.#histograms.get(name)?.observe({ ...labels }, milliseconds);
   }
 
-  /** All of them in the Prometheus text format. */
+  /** Returns all metrics in the Prometheus text format. */
   text(): Promise<string> {
     return this.#registry.metrics();
   }
