--- a/deploy/build.js
+++ b/deploy/build.js
@@ -1,13 +1,13 @@
-// Bundles the relay into target/: a small file that is started, what it loads, and that in compiled
-// form, so that a process that starts again spends no time on compiling.
+// Bundles the relay into target/: a small entry file, the program that it loads, and the program's
+// V8 code cache, so that a restarting process spends no time on compiling.
 import { execFileSync } from 'node:child_process';
 import { build } from 'esbuild';
 
 const TARGET = 'target';
-/** Takes effect in the compiled form, so it is the same as in deploy/system.toml. */
+/** V8 accepts a code cache only under the same flags, so these must equal those in deploy/system.toml. */
 const NODE_FLAGS = ['--max-old-space-size=160'];
 
-/** Parts of libraries that are never called: texts in other languages, native code. */
+/** Library modules that are never called: texts in other languages, native code. */
 const NEVER_CALLED = /\/locales\/index\.(js|cjs)$|^msgpackr-extract$/;
 
 const leaveOut = {
@@ -18,7 +18,7 @@
   },
 };
 
-/** The handlers of early signals are shared between the file that is started and what it loads. */
+/** Keeps early-signals a module of its own, as the entry file and the program share its signal handler. */
 const shareSignals = {
   name: 'share-signals',
   setup(bundle) {
@@ -38,9 +38,9 @@
   format: 'cjs',
   conditions: ['source'],
   logLevel: 'warning',
-  // Has a part in native code, and is loaded from where it is installed.
+  // Contains native code, so it is loaded from where it is installed.
   external: ['koffi'],
-  // Compiled code has no way to import; it is given a `require`.
+  // A script loaded through `node:vm` cannot use import(); it gets a `require` instead.
   supported: { 'dynamic-import': false },
 };
 
