--- a/packages/demo/src/check.ts
+++ b/packages/demo/src/check.ts
@@ -1,27 +1,31 @@
 import { callStream, expectedAnswer, makePrompt, SAMPLE_MODEL, sampleKey } from '@poppypond/load';
 import type { RunningDemo } from './demo.js';
 
-const SHORT_TOKENS = 1000;
-const LONG_TOKENS = 950_000;
+const SHORT_PROMPT_TOKENS = 1000;
+const LONG_PROMPT_TOKENS = 950_000;
 const OUTPUT_TOKENS = 16;
 
-async function checkPrompt(url: string, head: string, tokens: number): Promise<boolean> {
-  const prompt = makePrompt(head, tokens);
+async function checkPrompt(url: string, prefix: string, tokens: number): Promise<boolean> {
+  const prompt = makePrompt(prefix, tokens);
   const key = sampleKey('members');
   const call = { url, key, model: SAMPLE_MODEL, prompt, maxTokens: OUTPUT_TOKENS };
   const outcome = await callStream(call);
-  const isRight = outcome.code === 'ok' && outcome.text === expectedAnswer(prompt, OUTPUT_TOKENS);
+  const isCorrect = outcome.code === 'ok' && outcome.text === expectedAnswer(prompt, OUTPUT_TOKENS);
   const firstToken = outcome.firstTokenMs?.toFixed(0) ?? '-';
-  const verdict = isRight ? 'right' : 'wrong';
+  const verdict = isCorrect ? 'right' : 'wrong';
   process.stdout.write(
     `${String(tokens)} tokens: ${outcome.code}, answer ${verdict}, first token ${firstToken} ms\n`,
   );
-  return isRight;
+  return isCorrect;
 }
 
 /** Sends one short and one long prompt and verifies both answers. */
 export async function checkDemo(demo: RunningDemo): Promise<boolean> {
-  const isShortRight = await checkPrompt(demo.gatewayUrl, 'a balance question', SHORT_TOKENS);
-  const isLongRight = await checkPrompt(demo.gatewayUrl, 'a contract review', LONG_TOKENS);
-  return isShortRight && isLongRight;
+  const isShortCorrect = await checkPrompt(
+    demo.gatewayUrl,
+    'a balance question',
+    SHORT_PROMPT_TOKENS,
+  );
+  const isLongCorrect = await checkPrompt(demo.gatewayUrl, 'a contract review', LONG_PROMPT_TOKENS);
+  return isShortCorrect && isLongCorrect;
 }
--- a/packages/demo/src/commands.ts
+++ b/packages/demo/src/commands.ts
@@ -2,7 +2,7 @@
 import { defineCommand, portSetting, booleanSetting } from '@poppypond/settings';
 import { checkDemo } from './check.js';
 import { startDemo } from './demo.js';
-import { showFigures } from './figures.js';
+import { printUsageAndFigures } from './figures.js';
 
 /** The embedded default: everything in one process on loopback. */
 export const demoCommand = defineCommand({
@@ -18,13 +18,13 @@
     const clock = new SystemClock();
     const demo = await startDemo(clock, check ? 0 : port, check ? 0 : adminPort);
     if (check) {
-      const isRight = await checkDemo(demo);
+      const isCorrect = await checkDemo(demo);
       await demo.stop();
-      process.stdout.write(isRight ? 'demo check passed\n' : 'demo check failed\n');
-      setImmediate(() => process.exit(isRight ? 0 : 1));
-      return isRight ? 0 : 1;
+      process.stdout.write(isCorrect ? 'demo check passed\n' : 'demo check failed\n');
+      setImmediate(() => process.exit(isCorrect ? 0 : 1));
+      return isCorrect ? 0 : 1;
     }
-    showFigures(demo, clock);
+    printUsageAndFigures(demo, clock);
     return new Promise((resolve) => {
       process.once('SIGINT', () => {
         void demo.stop().then(() => {
--- a/packages/demo/src/demo.ts
+++ b/packages/demo/src/demo.ts
@@ -3,7 +3,7 @@
 import type { Clock } from '@poppypond/core';
 import { gatewayShape, startGateway } from '@poppypond/gateway';
 import { keySha256, SAMPLE_OPERATOR_KEY, sampleObjects } from '@poppypond/load';
-import { startEngine, startPlatform, startService } from '@poppypond/standin';
+import { startFakeEngine, startFakePlatform, startFakeService } from '@poppypond/standin';
 import { createLog, silentMetrics } from '@poppypond/telemetry';
 import { callHttp } from '@poppypond/web';
 import { z } from 'zod';
@@ -17,14 +17,14 @@
 }
 
 const ADDRESS = '127.0.0.1';
-const ENGINES = 6;
+const ENGINE_COUNT = 6;
 const ZONES = ['regina-a', 'saskatoon-b', 'brandon-c'];
 const APPLY_TIMEOUT_MS = 5000;
 const READY_POLL_MS = 20;
-const READY_TRIES = 500;
+const MAX_READY_CHECKS = 500;
 
 /** One engine prefills 200,000 tokens a second here, so that a review takes a few seconds. */
-const ENGINE = {
+const ENGINE_SETTINGS = {
   kvTokens: 400_000,
   stepBaseMs: 4,
   decodeMs: 0.05,
@@ -41,19 +41,19 @@
 
 async function startServers(clock: Clock) {
   const listenAt = { address: ADDRESS, port: 0 };
-  const { server: platform } = await startPlatform(
+  const { server: platform } = await startFakePlatform(
     { ...listenAt, writesPerSecond: 300, readsPerSecond: 2000, hostListLagMs: 3000, weightMs: 500 },
     clock,
   );
   const options = { ...listenAt, platformUrl: platform.url, onDie: () => undefined };
   const engines = await Promise.all(
-    Array.from({ length: ENGINES }, () => startEngine(ENGINE, clock, options)),
+    Array.from({ length: ENGINE_COUNT }, () => startFakeEngine(ENGINE_SETTINGS, clock, options)),
   );
-  const { server: service } = await startService(clock, ADDRESS, 0);
+  const { server: service } = await startFakeService(clock, ADDRESS, 0);
   return { platform, service, engines: engines.map(({ server }) => server) };
 }
 
-async function applySample(
+async function applySampleObjects(
   adminUrl: string,
   engineUrls: readonly string[],
   serviceUrl: string,
@@ -80,13 +80,13 @@
 });
 
 async function waitReady(clock: Clock, gatewayUrl: string): Promise<void> {
-  for (let tries = 0; tries < READY_TRIES; tries += 1) {
+  for (let tries = 0; tries < MAX_READY_CHECKS; tries += 1) {
     const url = `${gatewayUrl}/status`;
     const reply = await callHttp({ method: 'GET', url, timeoutMs: APPLY_TIMEOUT_MS });
     const status = statusSchema.safeParse(reply.isOk ? JSON.parse(reply.value.body) : undefined);
     if (status.success && status.data.revision > 0) {
       const seen = status.data.engines.filter((engine) => engine.reportAgeMs < APPLY_TIMEOUT_MS);
-      if (seen.length === ENGINES) return;
+      if (seen.length === ENGINE_COUNT) return;
     }
     await new Promise<void>((resolve) => {
       clock.after(READY_POLL_MS, resolve);
@@ -127,7 +127,7 @@
     log,
   );
   const engineUrls = engines.map((engine) => engine.url);
-  await applySample(admin.url, engineUrls, service.url);
+  await applySampleObjects(admin.url, engineUrls, service.url);
   const controllerSettings = z
     .object(controllerShape)
     .parse({ ...common, listenPort: '0', gateways: gateway.url });
--- a/packages/demo/src/figures.ts
+++ b/packages/demo/src/figures.ts
@@ -39,7 +39,7 @@
 }
 
 /** Prints how to use the demo, then its figures every two seconds. */
-export function showFigures(demo: RunningDemo, clock: Clock): void {
+export function printUsageAndFigures(demo: RunningDemo, clock: Clock): void {
   const body = JSON.stringify({
     model: SAMPLE_MODEL,
     prompt: 'What is my balance?',
--- a/packages/launch/src/fleet.ts
+++ b/packages/launch/src/fleet.ts
@@ -30,7 +30,7 @@
 
 const READY_TIMEOUT_MS = 20_000;
 const POLL_MS = 25;
-const REPORT_FRESH_MS = 2000;
+const MAX_REPORT_AGE_MS = 2000;
 const CALL_TIMEOUT_MS = 10_000;
 const DEFAULT_ZONES = ['regina-a', 'saskatoon-b', 'brandon-c'];
 
@@ -43,9 +43,9 @@
   check: () => Promise<boolean> | boolean,
   timeoutMs = READY_TIMEOUT_MS,
 ): Promise<void> {
-  const until = performance.now() + timeoutMs;
+  const untilMs = performance.now() + timeoutMs;
   while (!(await check())) {
-    if (performance.now() > until) throw new Error(`timed out: ${what}`);
+    if (performance.now() > untilMs) throw new Error(`timed out: ${what}`);
     await new Promise((resolve) => setTimeout(resolve, POLL_MS));
   }
 }
@@ -88,7 +88,7 @@
   readonly controllers: RunningProgram[] = [];
   readonly engines: FleetServer[] = [];
   readonly services: FleetServer[] = [];
-  #started = 0;
+  #startedCount = 0;
 
   private constructor(
     readonly options: FleetOptions,
@@ -138,8 +138,8 @@
 
   /** Starts an engine; the caller adds it to the configuration. */
   async startEngine(): Promise<FleetServer> {
-    this.#started += 1;
-    const number = this.#started;
+    this.#startedCount += 1;
+    const number = this.#startedCount;
     const program = await startProgram('standin', ['engine'], {
       'platform-url': this.platform.url,
       ...this.options.engineFlags,
@@ -171,13 +171,13 @@
   }
 
   async startGateway(flags: Flags = {}): Promise<RunningProgram> {
-    this.#started += 1;
+    this.#startedCount += 1;
     const seeds = this.gateways
       .filter((gateway) => !gateway.hasExited)
       .map((gateway) => gateway.listening.get('peers') ?? '');
     const gateway = await startProgram('gateway', [], {
-      host: `host-${String(this.#started)}`,
-      zone: this.zones[this.#started % this.zones.length] ?? '',
+      host: `host-${String(this.#startedCount)}`,
+      zone: this.zones[this.#startedCount % this.zones.length] ?? '',
       'listen-port': 0,
       'peer-port': 0,
       'platform-url': this.platform.url,
@@ -192,9 +192,9 @@
   }
 
   async startController(flags: Flags = {}): Promise<RunningProgram> {
-    this.#started += 1;
+    this.#startedCount += 1;
     const controller = await startProgram('controller', [], {
-      host: `host-${String(this.#started)}`,
+      host: `host-${String(this.#startedCount)}`,
       'listen-port': 0,
       'platform-url': this.platform.url,
       gateways: this.gateways.map((gateway) => gateway.url).join(','),
@@ -225,7 +225,9 @@
       }
       const status = statusSchema.safeParse(await getJson(`${gateway.url}/status`));
       if (!status.success) return `${gateway.url}: no status`;
-      const fresh = status.data.engines.filter(({ reportAgeMs }) => reportAgeMs < REPORT_FRESH_MS);
+      const fresh = status.data.engines.filter(
+        ({ reportAgeMs }) => reportAgeMs < MAX_REPORT_AGE_MS,
+      );
       if (fresh.length < this.engines.length) {
         return `${gateway.url}: reports of ${String(fresh.length)} engines`;
       }
--- a/packages/launch/src/program.ts
+++ b/packages/launch/src/program.ts
@@ -16,7 +16,7 @@
   return fileURLToPath(new URL(`../../${name}/dist/main.js`, import.meta.url));
 }
 
-function flagsOf(flags: Flags): readonly string[] {
+function formatFlags(flags: Flags): readonly string[] {
   return Object.entries(flags).flatMap(([name, value]) => {
     if (value === true) return [`--${name}`];
     if (value === false) return [`--no-${name}`];
@@ -42,14 +42,14 @@
         resolve(code);
       });
     });
-    const keep = (chunk: Buffer) => {
+    const appendLog = (chunk: Buffer) => {
       this.log = (this.log + chunk.toString('utf8')).slice(-MAX_LOG_CHARACTERS);
     };
-    child.stderr?.on('data', keep);
-    let rest = '';
+    child.stderr?.on('data', appendLog);
+    let partialLine = '';
     child.stdout?.on('data', (chunk: Buffer) => {
-      const lines = (rest + chunk.toString('utf8')).split('\n');
-      rest = lines.pop() ?? '';
+      const lines = (partialLine + chunk.toString('utf8')).split('\n');
+      partialLine = lines.pop() ?? '';
       for (const line of lines) {
         if (line.startsWith(RAN_PREFIX)) this.ran.add(line.slice(RAN_PREFIX.length));
       }
@@ -91,12 +91,16 @@
 /** Starts a program and resolves when it listens. */
 export function startProgram(
   name: ProgramName,
-  words: readonly string[],
+  commandPath: readonly string[],
   flags: Flags,
 ): Promise<RunningProgram> {
-  const child = spawn(process.execPath, [programPath(name), ...words, ...flagsOf(flags)], {
-    stdio: ['ignore', 'pipe', 'pipe'],
-  });
+  const child = spawn(
+    process.execPath,
+    [programPath(name), ...commandPath, ...formatFlags(flags)],
+    {
+      stdio: ['ignore', 'pipe', 'pipe'],
+    },
+  );
   return new Promise((resolve, reject) => {
     let output = '';
     const timer = setTimeout(() => {
--- a/packages/load/src/prompt.ts
+++ b/packages/load/src/prompt.ts
@@ -3,10 +3,10 @@
 const WORDS = 'unit holder balance ledger tariff meter reading clause annex payment account total ';
 
 /** A prompt of this many tokens that starts with `head` and shares the rest with all others. */
-export function makePrompt(head: string, tokens: number): string {
+export function makePrompt(prefix: string, tokens: number): string {
   const length = tokens * CHARACTERS_PER_TOKEN;
-  const body = WORDS.repeat(Math.ceil(Math.max(0, length - head.length) / WORDS.length));
-  return (head + body).slice(0, length);
+  const body = WORDS.repeat(Math.ceil(Math.max(0, length - prefix.length) / WORDS.length));
+  return (prefix + body).slice(0, length);
 }
 
 /** The text that the engine stand-in answers to a prompt with. */
--- a/packages/load/src/run-load.ts
+++ b/packages/load/src/run-load.ts
@@ -1,7 +1,7 @@
 import { callStream } from './stream-client.js';
 import type { StreamOutcome } from './stream-client.js';
 import { SAMPLE_MODEL, sampleKey } from './sample-objects.js';
-import { promptOf } from './workload.js';
+import { makeArrivalPrompt } from './workload.js';
 import type { Arrival } from './workload.js';
 
 /** One request's result. */
@@ -33,7 +33,7 @@
       url: target.urls[index % target.urls.length] ?? '',
       key: sampleKey(workspace),
       model: SAMPLE_MODEL,
-      prompt: promptOf(arrival, target.seed),
+      prompt: makeArrivalPrompt(arrival, target.seed),
       maxTokens: arrival.maxTokens,
       timeLimitMs: target.timeLimitMs,
     },
--- a/packages/load/src/seeded-random.ts
+++ b/packages/load/src/seeded-random.ts
@@ -1,12 +1,12 @@
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 
-const RANGE = 2 ** 32;
+const UINT32_RANGE = 2 ** 32;
 /** The first numbers of neighbouring seeds are alike. */
-const SKIPPED = 64;
+const SKIPPED_NUMBERS = 64;
 
 /** Uniform numbers in [0, 1), the same for the same seed. */
 export function seededRandom(seed: number): () => number {
   const generator = xoroshiro128plus(seed);
-  for (let skipped = 0; skipped < SKIPPED; skipped += 1) generator.next();
-  return () => (generator.next() >>> 0) / RANGE;
+  for (let skipped = 0; skipped < SKIPPED_NUMBERS; skipped += 1) generator.next();
+  return () => (generator.next() >>> 0) / UINT32_RANGE;
 }
--- a/packages/load/src/stream-client.ts
+++ b/packages/load/src/stream-client.ts
@@ -31,15 +31,15 @@
 
 const MAX_SOCKETS = 4096;
 /** Shorter than the gateway keeps an idle connection. */
-const IDLE_MS = 30_000;
-const agent = new Agent({ keepAlive: true, maxSockets: MAX_SOCKETS, timeout: IDLE_MS });
+const IDLE_TIMEOUT_MS = 30_000;
+const agent = new Agent({ keepAlive: true, maxSockets: MAX_SOCKETS, timeout: IDLE_TIMEOUT_MS });
 
 const chunkSchema = z.object({ choices: z.array(z.object({ text: z.string() })).min(1) });
 const errorSchema = z.object({
   error: z.object({ code: z.string(), retry_after_ms: z.number().optional() }),
 });
 
-interface Seen {
+interface StreamProgress {
   requestId: string;
   text: string;
   tokens: number;
@@ -50,7 +50,7 @@
   retryAfterMs: number | undefined;
 }
 
-function takeError(seen: Seen, value: unknown): boolean {
+function recordError(seen: StreamProgress, value: unknown): boolean {
   const error = errorSchema.safeParse(value);
   if (!error.success) return false;
   const { code, retry_after_ms } = error.data.error;
@@ -59,13 +59,13 @@
   return true;
 }
 
-function takeEvent(seen: Seen, id: string | undefined, data: string): void {
+function recordEvent(seen: StreamProgress, id: string | undefined, data: string): void {
   if (data === '[DONE]') {
     seen.isDone = true;
     return;
   }
   const value = parseJson(data);
-  if (takeError(seen, value)) return;
+  if (recordError(seen, value)) return;
   const chunk = chunkSchema.safeParse(value);
   const text = chunk.success ? (chunk.data.choices[0]?.text ?? '') : '';
   if (text === '') return;
@@ -76,7 +76,7 @@
   if (Number.isInteger(index)) seen.lastIndex = index;
 }
 
-function outcomeOf(seen: Seen, startedAt: number): StreamOutcome {
+function toOutcome(seen: StreamProgress, startedAt: number): StreamOutcome {
   const { requestId, text, tokens, lastIndex, firstTokenAt, retryAfterMs } = seen;
   return {
     code: seen.isDone ? 'ok' : (seen.code ?? 'lost'),
@@ -95,7 +95,7 @@
   call: StreamCall,
   startedAt = performance.now(),
 ): Promise<StreamOutcome> {
-  const seen: Seen = {
+  const seen: StreamProgress = {
     requestId: '',
     text: '',
     tokens: 0,
@@ -109,7 +109,7 @@
   const body = JSON.stringify({ model, max_tokens: maxTokens, stream: true, prompt });
   return new Promise((resolve) => {
     const end = () => {
-      resolve(outcomeOf(seen, startedAt));
+      resolve(toOutcome(seen, startedAt));
     };
     const outgoing = startHttp(
       `${call.url}/v1/completions`,
@@ -135,12 +135,12 @@
         if (response.statusCode !== 200) {
           let text = '';
           response.on('data', (chunk: string) => (text += chunk));
-          response.once('end', () => takeError(seen, parseJson(text)));
+          response.once('end', () => recordError(seen, parseJson(text)));
           return;
         }
         const parser = createParser({
           onEvent: ({ id, data }) => {
-            takeEvent(seen, id, data);
+            recordEvent(seen, id, data);
           },
         });
         response.on('data', (chunk: string) => {
--- a/packages/load/src/summarize.ts
+++ b/packages/load/src/summarize.ts
@@ -24,39 +24,41 @@
   readonly late: number;
 }
 
-const MICROSECONDS = 1000;
-const HIGHEST_MICROSECONDS = 600_000_000;
+const MICROSECONDS_PER_MS = 1000;
+const MAX_MICROSECONDS = 600_000_000;
 const LENGTH_GROUPS = [0, 2000, 8192, 32_000, 100_000, 400_000] as const;
 const LATE_GRACE_MS = 250;
 
-function histogramOf(samples: readonly LoadSample[]): Histogram {
+function buildHistogram(samples: readonly LoadSample[]): Histogram {
   const histogram = build({
     lowestDiscernibleValue: 1,
-    highestTrackableValue: HIGHEST_MICROSECONDS,
+    highestTrackableValue: MAX_MICROSECONDS,
     numberOfSignificantValueDigits: 3,
   });
   for (const { firstTokenMs } of samples) {
-    if (firstTokenMs !== undefined) histogram.recordValue(Math.round(firstTokenMs * MICROSECONDS));
+    if (firstTokenMs !== undefined)
+      histogram.recordValue(Math.round(firstTokenMs * MICROSECONDS_PER_MS));
   }
   return histogram;
 }
 
 /** Percentiles of the time to first token. */
 export function firstTokenPercentiles(samples: readonly LoadSample[]): Percentiles {
-  const histogram = histogramOf(samples);
-  const at = (percentile: number) => histogram.getValueAtPercentile(percentile) / MICROSECONDS;
+  const histogram = buildHistogram(samples);
+  const at = (percentile: number) =>
+    histogram.getValueAtPercentile(percentile) / MICROSECONDS_PER_MS;
   return {
     count: histogram.totalCount,
     p50: at(50),
     p90: at(90),
     p99: at(99),
-    max: histogram.maxValue / MICROSECONDS,
+    max: histogram.maxValue / MICROSECONDS_PER_MS,
   };
 }
 
 /** Figures of a run. */
 export function summarize(samples: readonly LoadSample[], timeLimitMs: number): LoadSummary {
-  const byLengthDown = [...samples].sort((a, b) => b.promptTokens - a.promptTokens);
+  const longestFirst = [...samples].sort((a, b) => b.promptTokens - a.promptTokens);
   const groups = LENGTH_GROUPS.map((from, index) => {
     const to = LENGTH_GROUPS[index + 1] ?? Number.POSITIVE_INFINITY;
     const inGroup = samples.filter(({ promptTokens: n }) => n >= from && n < to);
@@ -69,7 +71,7 @@
     short: firstTokenPercentiles(
       samples.filter((sample) => sample.promptTokens < SHORT_PROMPT_TOKENS),
     ),
-    longestTenth: firstTokenPercentiles(byLengthDown.slice(0, Math.ceil(samples.length / 10))),
+    longestTenth: firstTokenPercentiles(longestFirst.slice(0, Math.ceil(samples.length / 10))),
     byLength: Object.fromEntries(groups),
     codes,
     late: samples.filter(({ totalMs }) => totalMs > timeLimitMs + LATE_GRACE_MS).length,
--- a/packages/load/src/workload.ts
+++ b/packages/load/src/workload.ts
@@ -33,9 +33,9 @@
 const SHORT_RANGE = [800, 4000] as const;
 const MIDDLE_RANGE = [4000, 100_000] as const;
 const HUGE_RANGE = [100_000, 1_000_000] as const;
-const DOCUMENTS = 24;
+const DOCUMENT_COUNT = 24;
 const SHARED_DOCUMENT_CHANCE = 0.3;
-const SHARED_PART = 0.8;
+const SHARED_PROMPT_SHARE = 0.8;
 const OUTPUT_RANGE = [8, 64] as const;
 const BURST_FROM = 0.4;
 const BURST_TO = 0.6;
@@ -57,7 +57,7 @@
   return SAMPLE_WORKSPACES[0].name;
 }
 
-function choosePrompt(hugeShare: number, uniform: Uniform): number {
+function choosePromptTokens(hugeShare: number, uniform: Uniform): number {
   const kind = uniform();
   if (kind < hugeShare) return logUniform(HUGE_RANGE, uniform);
   if (kind < hugeShare + MIDDLE_SHARE) return logUniform(MIDDLE_RANGE, uniform);
@@ -70,11 +70,14 @@
   const arrivals: Arrival[] = [];
   let atMs = 0;
   while (atMs < options.durationMs) {
-    const part = atMs / options.durationMs;
-    const isBurst = part >= BURST_FROM && part < BURST_TO;
+    const elapsedShare = atMs / options.durationMs;
+    const isBurst = elapsedShare >= BURST_FROM && elapsedShare < BURST_TO;
     const rate = options.requestsPerSecond * (isBurst ? options.burstFactor : 1);
     atMs += (-Math.log(1 - uniform()) / rate) * MS_PER_SECOND;
-    const promptTokens = choosePrompt(isBurst ? options.hugeShare / 2 : options.hugeShare, uniform);
+    const promptTokens = choosePromptTokens(
+      isBurst ? options.hugeShare / 2 : options.hugeShare,
+      uniform,
+    );
     const isShared = promptTokens > SHORT_PROMPT_TOKENS && uniform() < SHARED_DOCUMENT_CHANCE;
     arrivals.push({
       index: arrivals.length,
@@ -82,19 +85,19 @@
       workspace: chooseWorkspace(uniform),
       promptTokens,
       maxTokens: logUniform(OUTPUT_RANGE, uniform),
-      document: isShared ? Math.floor(uniform() * DOCUMENTS) : undefined,
+      document: isShared ? Math.floor(uniform() * DOCUMENT_COUNT) : undefined,
     });
   }
   return arrivals;
 }
 
 /** The prompt of an arrival: unique, but for the document that it may start with. */
-export function promptOf(arrival: Arrival, seed: number): string {
+export function makeArrivalPrompt(arrival: Arrival, seed: number): string {
   const { document, index, promptTokens } = arrival;
   const unique = `request ${String(seed)}-${String(index)} `;
   if (document === undefined) return makePrompt(unique, promptTokens);
-  const shared = Math.floor(promptTokens * SHARED_PART);
-  const head = makePrompt(`document ${String(seed)}-${String(document)} `, shared);
-  const rest = promptTokens - Math.ceil(head.length / CHARACTERS_PER_TOKEN);
-  return head + makePrompt(unique, rest);
+  const shared = Math.floor(promptTokens * SHARED_PROMPT_SHARE);
+  const prefix = makePrompt(`document ${String(seed)}-${String(document)} `, shared);
+  const rest = promptTokens - Math.ceil(prefix.length / CHARACTERS_PER_TOKEN);
+  return prefix + makePrompt(unique, rest);
 }
--- a/packages/mocks/src/fake-objects.ts
+++ b/packages/mocks/src/fake-objects.ts
@@ -6,26 +6,26 @@
   readonly objects = new Map<string, string>();
   isDown = false;
 
-  #answer<Value>(value: () => Value): Promise<Result<Value, StoreFault>> {
+  #respond<Value>(value: () => Value): Promise<Result<Value, StoreFault>> {
     const down: StoreFault = { reason: 'unavailable', detail: 'down' };
     return Promise.resolve(this.isDown ? Result.err(down) : Result.ok(value()));
   }
 
   put(name: string, body: string): Promise<Result<void, StoreFault>> {
-    return this.#answer(() => void this.objects.set(name, body));
+    return this.#respond(() => void this.objects.set(name, body));
   }
 
   get(name: string): Promise<Result<string | undefined, StoreFault>> {
-    return this.#answer(() => this.objects.get(name));
+    return this.#respond(() => this.objects.get(name));
   }
 
   list(prefix: string, after = ''): Promise<Result<readonly string[], StoreFault>> {
-    return this.#answer(() =>
+    return this.#respond(() =>
       [...this.objects.keys()].filter((name) => name.startsWith(prefix) && name > after).sort(),
     );
   }
 
   remove(name: string): Promise<Result<void, StoreFault>> {
-    return this.#answer(() => void this.objects.delete(name));
+    return this.#respond(() => void this.objects.delete(name));
   }
 }
--- a/packages/mocks/src/memory-table.ts
+++ b/packages/mocks/src/memory-table.ts
@@ -54,18 +54,18 @@
   ) {}
 
   async get(key: string): Promise<Result<TableRow | undefined, StoreFault>> {
-    const fate = this.pickOutcome(false);
+    const outcome = this.pickOutcome(false);
     await this.yieldAt(`get ${key}`);
-    if (fate !== 'ok') return Result.err(UNAVAILABLE);
+    if (outcome !== 'ok') return Result.err(UNAVAILABLE);
     const row = this.shared.rows.get(key);
     await this.yieldAt(`got ${key}`);
     return Result.ok(row);
   }
 
   async scan(prefix: string, after = ''): Promise<Result<readonly TableRow[], StoreFault>> {
-    const fate = this.pickOutcome(false);
+    const outcome = this.pickOutcome(false);
     await this.yieldAt(`scan ${prefix}`);
-    if (fate !== 'ok') return Result.err(UNAVAILABLE);
+    if (outcome !== 'ok') return Result.err(UNAVAILABLE);
     const rows = [...this.shared.rows.values()]
       .filter((row) => row.key.startsWith(prefix) && row.key > after)
       .sort((a, b) => (a.key < b.key ? -1 : 1));
@@ -73,15 +73,15 @@
   }
 
   async transact(transaction: TableTransaction): Promise<Result<TransactionResult, StoreFault>> {
-    const fate = this.pickOutcome(true);
-    if (fate === 'down') return Result.err(UNAVAILABLE);
-    if (fate === 'hang-then-lost') {
+    const outcome = this.pickOutcome(true);
+    if (outcome === 'down') return Result.err(UNAVAILABLE);
+    if (outcome === 'hang-then-lost') {
       void this.yieldAt('late write').then(() => this.shared.apply(transaction));
       return Result.err(UNCONFIRMED);
     }
     await this.yieldAt('write');
     const result = this.shared.apply(transaction);
     await this.yieldAt('written');
-    return fate === 'lost' ? Result.err(UNCONFIRMED) : Result.ok(result);
+    return outcome === 'lost' ? Result.err(UNCONFIRMED) : Result.ok(result);
   }
 }
--- a/packages/standin/src/commands.ts
+++ b/packages/standin/src/commands.ts
@@ -9,10 +9,10 @@
 } from '@poppypond/settings';
 import type { ProgramCommand } from '@poppypond/settings';
 import { z } from 'zod';
-import { startEngine } from './engine/app.js';
+import { startFakeEngine } from './engine/app.js';
 import { engineModelShape } from './engine/model-settings.js';
-import { startPlatform } from './platform/app.js';
-import { startService } from './service/app.js';
+import { startFakePlatform } from './platform/app.js';
+import { startFakeService } from './service/app.js';
 
 const listenShape = {
   listenAddress: z.string().default('127.0.0.1').describe('address to listen on'),
@@ -41,7 +41,7 @@
     platformUrl: urlSetting.optional().describe('platform stand-in that holds the weights'),
   },
   main: async (settings) => {
-    const { server } = await startEngine(settings, new SystemClock(), {
+    const { server } = await startFakeEngine(settings, new SystemClock(), {
       address: settings.listenAddress,
       port: settings.listenPort,
       platformUrl: settings.platformUrl,
@@ -57,7 +57,7 @@
   shape: listenShape,
   main: async (settings) => {
     const clock = new SystemClock();
-    const { server } = await startService(clock, settings.listenAddress, settings.listenPort);
+    const { server } = await startFakeService(clock, settings.listenAddress, settings.listenPort);
     return serveUntilStopped(server.url);
   },
 });
@@ -75,7 +75,7 @@
     weightMs: millisecondsSetting.default(MS_PER_SECOND).describe('time to load one model'),
   },
   main: async (settings) => {
-    const { server } = await startPlatform(
+    const { server } = await startFakePlatform(
       { ...settings, address: settings.listenAddress, port: settings.listenPort },
       new SystemClock(),
     );
--- a/packages/standin/src/engine/app.ts
+++ b/packages/standin/src/engine/app.ts
@@ -3,12 +3,12 @@
 import { callHttp, listen, parseBody, readBody, Router, sendFault, sendJson } from '@poppypond/web';
 import type { ListeningServer, RouteContext } from '@poppypond/web';
 import { z } from 'zod';
-import { Engine } from './engine.js';
+import { FakeEngine } from './engine.js';
 import { engineFaultsSchema } from './faults.js';
 import { parseGenerateCall } from './generate-call.js';
 import type { EngineModelSettings } from './model-settings.js';
-import { orderSchema } from './orders.js';
-import type { EngineOrder } from './orders.js';
+import { fencedCommandSchema } from './orders.js';
+import type { FencedCommand } from './orders.js';
 
 const MAX_BODY_BYTES = 64_000_000;
 const BODY_TIMEOUT_MS = 30_000;
@@ -51,7 +51,7 @@
   return undefined;
 }
 
-async function followOrder(engine: Engine, order: EngineOrder, options: EngineAppOptions) {
+async function runCommand(engine: FakeEngine, order: FencedCommand, options: EngineAppOptions) {
   const { order: what } = order;
   switch (what.kind) {
     case 'load-model':
@@ -74,7 +74,7 @@
   }
 }
 
-function addMemoryRoutes(router: Router, engine: Engine): void {
+function addMemoryRoutes(router: Router, engine: FakeEngine): void {
   router
     .on('GET', '/reservations', ({ response }) => {
       const now = engine.clock.monotonicMs();
@@ -123,11 +123,11 @@
     });
 }
 
-function addControlRoutes(router: Router, engine: Engine, options: EngineAppOptions): void {
+function addControlRoutes(router: Router, engine: FakeEngine, options: EngineAppOptions): void {
   router
     .on('GET', '/load', ({ response, query }) => {
       response.setHeader('content-type', 'application/json');
-      response.end(JSON.stringify(engine.feeds.loadNow(query.get('owner') ?? '')));
+      response.end(JSON.stringify(engine.feeds.currentLoad(query.get('owner') ?? '')));
     })
     .on('GET', '/load/stream', ({ response, query }) => {
       const periodMs = Number(query.get('period') ?? 0);
@@ -137,12 +137,12 @@
       engine.feeds.subscribeCache(response);
     })
     .on('POST', '/orders', async (context) => {
-      const body = await readChecked(context, orderSchema);
+      const body = await readChecked(context, fencedCommandSchema);
       if (!body) return;
-      if (!engine.orders.accept(body)) {
+      if (!engine.commands.accept(body)) {
         return sendJson(context.response, 409, { refused: 'older_fence' });
       }
-      const isDone = await followOrder(engine, body, options);
+      const isDone = await runCommand(engine, body, options);
       sendJson(context.response, isDone ? 200 : 502, { followed: isDone });
     })
     .on('GET', '/truth', ({ response }) => {
@@ -151,7 +151,7 @@
         JSON.stringify({
           runs: engine.runs,
           heldTokens: engine.memory.heldTokens,
-          followed: engine.orders.followed,
+          followed: engine.commands.followed,
         }),
       );
     })
@@ -170,12 +170,12 @@
 }
 
 /** Starts an engine stand-in. */
-export async function startEngine(
+export async function startFakeEngine(
   settings: EngineModelSettings,
   clock: Clock,
   options: EngineAppOptions,
-): Promise<{ readonly engine: Engine; readonly server: ListeningServer }> {
-  const engine = new Engine(settings, clock);
+): Promise<{ readonly engine: FakeEngine; readonly server: ListeningServer }> {
+  const engine = new FakeEngine(settings, clock);
   const router = new Router();
   router.on('POST', '/generate', async ({ request, response }) => {
     const body = await readBody(request, MAX_BODY_BYTES, BODY_TIMEOUT_MS);
--- a/packages/standin/src/engine/batch.ts
+++ b/packages/standin/src/engine/batch.ts
@@ -22,7 +22,7 @@
   readonly onEnd: (end: SequenceEnd) => void;
 }
 
-interface Running {
+interface RunningSequence {
   readonly sequence: Sequence;
   readonly arrival: number;
   readonly readyAtMs: Milliseconds;
@@ -31,14 +31,14 @@
 }
 
 interface Step {
-  readonly decoding: readonly Running[];
-  readonly prefilling: readonly { readonly running: Running; readonly tokens: number }[];
+  readonly decoding: readonly RunningSequence[];
+  readonly prefilling: readonly { readonly running: RunningSequence; readonly tokens: number }[];
   readonly prefillTokens: number;
 }
 
 /** Continuous batching with chunked prefill: one step at a time, by priority then arrival. */
 export class Batch {
-  readonly #running = new Map<string, Running>();
+  readonly #running = new Map<string, RunningSequence>();
   #arrivals = 0;
   #cancelTimer: CancelTimer | undefined;
   #nextStepAtMs: Milliseconds = 0;
@@ -80,7 +80,7 @@
       prefilled: 0,
       nextToken: sequence.firstToken,
     });
-    this.#wake();
+    this.#startStepping();
   }
 
   cancel(key: string): boolean {
@@ -100,7 +100,7 @@
     this.#cancelTimer = undefined;
   }
 
-  #wake(): void {
+  #startStepping(): void {
     if (this.#cancelTimer || this.#running.size === 0) return;
     this.#nextStepAtMs = this.clock.monotonicMs();
     this.#schedule();
@@ -123,8 +123,8 @@
 
   #plan(): Step {
     const now = this.clock.monotonicMs();
-    const decoding: Running[] = [];
-    const waiting: Running[] = [];
+    const decoding: RunningSequence[] = [];
+    const waiting: RunningSequence[] = [];
     for (const running of this.#running.values()) {
       if (running.readyAtMs > now) continue;
       if (running.prefilled >= running.sequence.prefillTokens) decoding.push(running);
@@ -132,7 +132,7 @@
     }
     waiting.sort((a, b) => b.sequence.priority - a.sequence.priority || a.arrival - b.arrival);
     let budget = this.settings.chunkTokens;
-    const prefilling: { running: Running; tokens: number }[] = [];
+    const prefilling: { running: RunningSequence; tokens: number }[] = [];
     for (const running of waiting) {
       if (budget === 0) break;
       const tokens = Math.min(budget, running.sequence.prefillTokens - running.prefilled);
@@ -155,7 +155,7 @@
     if (this.#running.size > 0) this.#schedule();
   }
 
-  #emit(running: Running): void {
+  #emit(running: RunningSequence): void {
     const { sequence } = running;
     if (!this.#running.has(sequence.key)) return;
     if (running.nextToken < sequence.endToken) {
@@ -165,7 +165,7 @@
     if (running.nextToken >= sequence.endToken) this.#end(running, 'done');
   }
 
-  #end(running: Running, end: SequenceEnd): void {
+  #end(running: RunningSequence, end: SequenceEnd): void {
     if (!this.#running.delete(running.sequence.key)) return;
     running.sequence.onEnd(end);
     if (this.#running.size === 0) this.stop();
--- a/packages/standin/src/engine/engine.ts
+++ b/packages/standin/src/engine/engine.ts
@@ -7,12 +7,12 @@
 import type { SequenceEnd } from './batch.js';
 import { noEngineFaults } from './faults.js';
 import type { EngineFaults } from './faults.js';
-import { chainsOf } from './generate-call.js';
+import { hashPrompt } from './generate-call.js';
 import type { GenerateCall } from './generate-call.js';
 import { KvMemory } from './kv-memory.js';
 import type { Reservation } from './kv-memory.js';
 import type { EngineModelSettings } from './model-settings.js';
-import { OrderGate } from './orders.js';
+import { CommandGate } from './orders.js';
 import { EngineFeeds } from './feeds.js';
 import { FrameWriter } from './frame-writer.js';
 
@@ -30,13 +30,13 @@
   end: SequenceEnd | 'running';
 }
 
-interface Admitted {
+interface AdmittedCall {
   readonly call: GenerateCall;
   readonly response: ServerResponse;
   readonly imported: { readonly tokens: number; readonly chain: bigint };
 }
 
-interface Waiting extends Admitted {
+interface WaitingCall extends AdmittedCall {
   readonly arrival: number;
   readonly deadlineMs: Milliseconds;
 }
@@ -48,10 +48,10 @@
 const MAX_RUNS_KEPT = 200_000;
 
 /** One model engine: batch, memory, waiting line, orders and ground truth. */
-export class Engine {
+export class FakeEngine {
   readonly batch: Batch;
   readonly memory: KvMemory;
-  readonly orders: OrderGate;
+  readonly commands: CommandGate;
   readonly feeds: EngineFeeds;
   readonly faults: EngineFaults = noEngineFaults();
   readonly runs: EngineRun[] = [];
@@ -60,7 +60,7 @@
   readonly running = new Set<string>();
   readonly seenDispatches = new Map<string, number>();
   role: 'any' | 'long' | 'short' = 'any';
-  readonly #waiting: Waiting[] = [];
+  readonly #waiting: WaitingCall[] = [];
   #arrivals = 0;
 
   constructor(
@@ -71,7 +71,7 @@
     this.memory = new KvMemory(settings.kvTokens, clock, (event) => {
       this.feeds.publishCacheEvent(event);
     });
-    this.orders = new OrderGate(settings.checksFencing, clock);
+    this.commands = new CommandGate(settings.checksFencing, clock);
     for (const model of settings.models) this.models.set(model, '1');
     this.feeds = new EngineFeeds(this, clock);
   }
@@ -96,23 +96,23 @@
       call.owner,
       Math.max(call.dispatch, this.seenDispatches.get(call.owner) ?? 0),
     );
-    const refusal = this.#refusal(call);
+    const refusal = this.#findRefusal(call);
     if (refusal) return refuse(response, ...refusal, this.faults.restSeconds);
     const imported = await this.#import(call);
     if (!imported) return refuse(response, 409, 'import_failed');
     const admitted = { call, response, imported };
     if (this.#tryStart(admitted)) return;
-    if (!call.mayWait) return refuse(response, 409, 'no_memory');
+    if (!call.canWait) return refuse(response, 409, 'no_memory');
     this.#arrivals += 1;
     const deadlineMs = this.clock.monotonicMs() + call.timeRemainingMs;
     this.#waiting.push({ ...admitted, arrival: this.#arrivals, deadlineMs });
     this.#waiting.sort((a, b) => b.call.priority - a.call.priority || a.arrival - b.arrival);
     response.once('close', () => {
-      this.#dropWaiting(response);
+      this.#removeWaiting(response);
     });
   }
 
-  #refusal(call: GenerateCall): readonly [number, string] | undefined {
+  #findRefusal(call: GenerateCall): readonly [number, string] | undefined {
     if (this.faults.refuseCalls > 0) {
       this.faults.refuseCalls -= 1;
       return [503, 'refused'];
@@ -123,7 +123,7 @@
     return needed > this.settings.kvTokens ? [413, 'larger_than_memory'] : undefined;
   }
 
-  async #import(call: GenerateCall): Promise<Admitted['imported'] | undefined> {
+  async #import(call: GenerateCall): Promise<AdmittedCall['imported'] | undefined> {
     let tokens = 0;
     let chain = CHAIN_START;
     for (const source of call.imports) {
@@ -141,25 +141,25 @@
     return { tokens, chain };
   }
 
-  #tryStart(admitted: Admitted): boolean {
+  #tryStart(admitted: AdmittedCall): boolean {
     const { call, response } = admitted;
     if (response.destroyed) return true;
     if (this.batch.size >= this.settings.maxRunning) return false;
-    const reservation = this.#reservationFor(call);
+    const reservation = this.#findOrReserve(call);
     if (!reservation) return false;
     this.#start(admitted, reservation);
     return true;
   }
 
-  #reservationFor(call: GenerateCall): Reservation | undefined {
+  #findOrReserve(call: GenerateCall): Reservation | undefined {
     if (call.reservationId !== undefined) return this.memory.find(call.reservationId);
     const tokens = call.promptTokens + call.maxTokens;
     const claim = { ...call, tokens, deadlineMs: call.timeRemainingMs };
     return this.memory.reserve(claim, RESERVATION_TTL_MS);
   }
 
-  #start({ call, response, imported }: Admitted, reservation: Reservation): void {
-    const { blocks, whole } = chainsOf(call.prompt, imported.chain);
+  #start({ call, response, imported }: AdmittedCall, reservation: Reservation): void {
+    const { blocks, promptHash } = hashPrompt(call.prompt, imported.chain);
     const cachedTokens = this.memory.matchPrefix(blocks);
     const run = this.#recordRun(call);
     const writer = new FrameWriter(response, call.attempt, this.faults);
@@ -169,9 +169,9 @@
     const onEnd = (end: SequenceEnd): void => {
       run.end = end;
       this.running.delete(reservation.id);
-      this.memory.keep(end === 'done' ? blocks : [], formatChainHash);
+      this.memory.cacheBlocks(end === 'done' ? blocks : [], formatChainHash);
       if (end === 'done' && call.prefillOnly) {
-        this.memory.markExported(reservation.id, imported.tokens + call.promptTokens, whole);
+        this.memory.markExported(reservation.id, imported.tokens + call.promptTokens, promptHash);
       } else if (call.reservationId === undefined || end !== 'done') {
         this.memory.release(reservation.id);
       }
@@ -191,7 +191,7 @@
       startDelayMs: imported.tokens * this.settings.importMs,
       onToken: (index) => {
         run.tokens += 1;
-        writer.token(index, answerToken(whole, index));
+        writer.token(index, answerToken(promptHash, index));
       },
       onEnd,
     });
@@ -228,7 +228,7 @@
     }
   }
 
-  #dropWaiting(response: ServerResponse): void {
+  #removeWaiting(response: ServerResponse): void {
     const index = this.#waiting.findIndex((waiting) => waiting.response === response);
     if (index >= 0) this.#waiting.splice(index, 1);
   }
@@ -248,8 +248,8 @@
 
 function refuse(response: ServerResponse, status: number, reason: string, restSeconds = 0): void {
   if (response.headersSent || response.destroyed) return;
-  const isResting = status === UNAVAILABLE && restSeconds > 0;
-  const rest = isResting ? { 'retry-after': String(restSeconds) } : {};
-  response.writeHead(status, { 'content-type': 'application/json', ...rest });
+  const hasBackoff = status === UNAVAILABLE && restSeconds > 0;
+  const backoffHeaders = hasBackoff ? { 'retry-after': String(restSeconds) } : {};
+  response.writeHead(status, { 'content-type': 'application/json', ...backoffHeaders });
   response.end(JSON.stringify({ refused: reason }));
 }
--- a/packages/standin/src/engine/faults.ts
+++ b/packages/standin/src/engine/faults.ts
@@ -1,6 +1,6 @@
 import { z } from 'zod';
 
-const switchesSchema = z.strictObject({
+const faultsSchema = z.strictObject({
   /** Ends the process at once. */
   die: z.boolean(),
   /** Stops stepping for this time. */
@@ -26,10 +26,10 @@
 });
 
 /** Fault switches of the engine stand-in; absent fields stay as they are. */
-export const engineFaultsSchema = switchesSchema.partial();
+export const engineFaultsSchema = faultsSchema.partial();
 
 /** Fault switches in force. */
-export type EngineFaults = z.infer<typeof switchesSchema>;
+export type EngineFaults = z.infer<typeof faultsSchema>;
 
 /** No faults. */
 export function noEngineFaults(): EngineFaults {
--- a/packages/standin/src/engine/feeds.ts
+++ b/packages/standin/src/engine/feeds.ts
@@ -1,6 +1,6 @@
 import type { ServerResponse } from 'node:http';
 import type { Clock, Milliseconds } from '@poppypond/core';
-import type { Engine } from './engine.js';
+import type { FakeEngine } from './engine.js';
 import type { CacheEvent } from './kv-memory.js';
 
 interface Subscriber {
@@ -12,13 +12,13 @@
 
 /** Sends load reports with a lag, and cache events late and with gaps, as lines of JSON. */
 export class EngineFeeds {
-  readonly #load = new Set<Subscriber>();
-  readonly #cache = new Set<ServerResponse>();
+  readonly #loadSubscribers = new Set<Subscriber>();
+  readonly #cacheSubscribers = new Set<ServerResponse>();
   #reportSequence = 0;
   #cacheEvents = 0;
 
   constructor(
-    readonly engine: Engine,
+    readonly engine: FakeEngine,
     readonly clock: Clock,
   ) {
     clock.every(engine.settings.reportPeriodMs, () => {
@@ -27,7 +27,7 @@
   }
 
   /** The load as it is now; `seen` is the last dispatch of `owner` that it counts. */
-  loadNow(owner: string): Readonly<Record<string, unknown>> {
+  currentLoad(owner: string): Readonly<Record<string, unknown>> {
     const { engine } = this;
     return {
       sequence: this.#reportSequence,
@@ -46,46 +46,46 @@
 
   /** Sends reports to a host, no more often than each `periodMs`. */
   subscribeLoad(response: ServerResponse, owner: string, periodMs: Milliseconds): void {
-    this.#open(response);
+    this.#openStream(response);
     const every = Math.max(1, Math.round(periodMs / this.engine.settings.reportPeriodMs));
     const subscriber = { response, owner, every };
-    this.#load.add(subscriber);
-    response.write(`${JSON.stringify(this.loadNow(owner))}\n`);
-    response.once('close', () => this.#load.delete(subscriber));
+    this.#loadSubscribers.add(subscriber);
+    response.write(`${JSON.stringify(this.currentLoad(owner))}\n`);
+    response.once('close', () => this.#loadSubscribers.delete(subscriber));
   }
 
   subscribeCache(response: ServerResponse): void {
-    this.#open(response);
-    this.#cache.add(response);
+    this.#openStream(response);
+    this.#cacheSubscribers.add(response);
     const { memory } = this.engine;
     const snapshot = { sequence: memory.eventSequence, all: memory.cachedBlocks };
     response.write(`${JSON.stringify(snapshot)}\n`);
-    response.once('close', () => this.#cache.delete(response));
+    response.once('close', () => this.#cacheSubscribers.delete(response));
   }
 
   publishCacheEvent(event: CacheEvent): void {
     const { dropCacheEventEvery, cacheEventDelayMs } = this.engine.faults;
     this.#cacheEvents += 1;
     if (dropCacheEventEvery > 0 && this.#cacheEvents % dropCacheEventEvery === 0) return;
-    if (this.#cache.size === 0) return;
+    if (this.#cacheSubscribers.size === 0) return;
     const line = `${JSON.stringify(event)}\n`;
     const send = () => {
-      for (const response of this.#cache) response.write(line);
+      for (const response of this.#cacheSubscribers) response.write(line);
     };
     if (cacheEventDelayMs > 0) this.clock.after(cacheEventDelayMs, send);
     else send();
   }
 
-  #open(response: ServerResponse): void {
+  #openStream(response: ServerResponse): void {
     response.writeHead(200, { 'content-type': 'application/x-ndjson' });
     response.flushHeaders();
   }
 
   #report(): void {
     this.#reportSequence += 1;
-    for (const { response, owner, every } of this.#load) {
+    for (const { response, owner, every } of this.#loadSubscribers) {
       if (this.#reportSequence % every !== 0) continue;
-      const line = `${JSON.stringify(this.loadNow(owner))}\n`;
+      const line = `${JSON.stringify(this.currentLoad(owner))}\n`;
       this.clock.after(this.engine.settings.reportLagMs, () => {
         response.write(line);
       });
--- a/packages/standin/src/engine/frame-writer.ts
+++ b/packages/standin/src/engine/frame-writer.ts
@@ -8,8 +8,8 @@
  */
 export class FrameWriter {
   readonly #cutAt: number;
-  readonly #isLost: boolean;
-  readonly #repeats: boolean;
+  readonly #isResponseLost: boolean;
+  readonly #isRepeating: boolean;
   #written = 0;
 
   constructor(
@@ -19,20 +19,20 @@
   ) {
     this.#cutAt = faults.cutStreams > 0 ? faults.cutAfterTokens : Number.POSITIVE_INFINITY;
     if (faults.cutStreams > 0) faults.cutStreams -= 1;
-    this.#isLost = faults.loseAnswers > 0;
-    if (this.#isLost) faults.loseAnswers -= 1;
-    this.#repeats = faults.repeatFrames > 0;
-    if (this.#repeats) faults.repeatFrames -= 1;
+    this.#isResponseLost = faults.loseAnswers > 0;
+    if (this.#isResponseLost) faults.loseAnswers -= 1;
+    this.#isRepeating = faults.repeatFrames > 0;
+    if (this.#isRepeating) faults.repeatFrames -= 1;
   }
 
   begin(accepted: Readonly<Record<string, string | number>>): void {
-    if (this.#isLost) return;
+    if (this.#isResponseLost) return;
     this.response.writeHead(200, { 'content-type': 'text/event-stream' });
     this.response.write(`event: accepted\ndata: ${JSON.stringify(accepted)}\n\n`);
   }
 
   token(index: number, text: string): void {
-    if (this.#isLost || this.response.destroyed) return;
+    if (this.#isResponseLost || this.response.destroyed) return;
     if (this.#written >= this.#cutAt) {
       this.response.destroy();
       return;
@@ -40,13 +40,13 @@
     const frame = `id: ${String(this.attempt)}:${String(index)}\ndata: ${text}\n\n`;
     this.response.write(frame);
     this.#written += 1;
-    if (!this.#repeats) return;
+    if (!this.#isRepeating) return;
     this.response.write(frame);
     this.response.write(`id: ${String(this.attempt - 1)}:${String(index)}\ndata: stale \n\n`);
   }
 
   end(end: SequenceEnd, usage: Readonly<Record<string, number>>): void {
-    if (this.#isLost || this.#written >= this.#cutAt) {
+    if (this.#isResponseLost || this.#written >= this.#cutAt) {
       this.response.destroy();
       return;
     }
--- a/packages/standin/src/engine/generate-call.ts
+++ b/packages/standin/src/engine/generate-call.ts
@@ -41,7 +41,7 @@
   readonly priority: number;
   readonly timeRemainingMs: Milliseconds;
   readonly resumeOffset: number;
-  readonly mayWait: boolean;
+  readonly canWait: boolean;
   readonly reservationId: string | undefined;
   readonly prefillOnly: boolean;
   readonly imports: readonly string[];
@@ -56,12 +56,12 @@
   headers: Readonly<Record<string, string | readonly string[] | undefined>>,
   body: string,
 ): GenerateCall | string {
-  const head = headersSchema.safeParse(headers);
-  if (!head.success) return `header ${String(head.error.issues[0]?.path[0])}`;
+  const parsedHeaders = headersSchema.safeParse(headers);
+  if (!parsedHeaders.success) return `header ${String(parsedHeaders.error.issues[0]?.path[0])}`;
   const parsed = bodySchema.safeParse(parseJson(body));
   if (!parsed.success) return `field ${String(parsed.error.issues[0]?.path.join('.'))}`;
   const prompt = parsed.data.prompt ?? chatPrompt(parsed.data.messages ?? []);
-  const h = head.data;
+  const h = parsedHeaders.data;
   return {
     requestId: h['x-request'],
     attempt: h['x-attempt'],
@@ -70,7 +70,7 @@
     priority: h['x-priority'],
     timeRemainingMs: h['x-time-remaining-ms'],
     resumeOffset: h['x-resume-offset'],
-    mayWait: h['x-wait'] === '1',
+    canWait: h['x-wait'] === '1',
     reservationId: h['x-reservation'],
     prefillOnly: h['x-prefill-only'] === '1',
     imports: h['x-imports']?.split(',') ?? [],
@@ -82,12 +82,12 @@
 }
 
 /** The blocks of a prompt after what was imported, and the chain value after all of it. */
-export function chainsOf(
+export function hashPrompt(
   prompt: string,
   start: bigint = CHAIN_START,
-): { readonly blocks: readonly bigint[]; readonly whole: bigint } {
+): { readonly blocks: readonly bigint[]; readonly promptHash: bigint } {
   return {
     blocks: hashBlocks(prompt, Number.POSITIVE_INFINITY, start),
-    whole: hashText(prompt, start),
+    promptHash: hashText(prompt, start),
   };
 }
--- a/packages/standin/src/engine/kv-memory.ts
+++ b/packages/standin/src/engine/kv-memory.ts
@@ -117,19 +117,24 @@
   }
 
   /** Keeps the blocks of a prompt for later requests, as far as memory is free. */
-  keep(blocks: readonly bigint[], textOf: (block: bigint) => string): void {
-    const room = Math.floor((this.capacityTokens - this.#heldTokens) / BLOCK_TOKENS);
-    const fresh = blocks.slice(0, Math.max(0, room)).filter((block) => !this.#cache.has(block));
-    for (const block of fresh) this.#cache.set(block, textOf(block));
-    if (fresh.length > 0) this.#emit(fresh.map(textOf), []);
+  cacheBlocks(blocks: readonly bigint[], formatBlock: (block: bigint) => string): void {
+    const freeBlocks = Math.floor((this.capacityTokens - this.#heldTokens) / BLOCK_TOKENS);
+    const newBlocks = blocks
+      .slice(0, Math.max(0, freeBlocks))
+      .filter((block) => !this.#cache.has(block));
+    for (const block of newBlocks) this.#cache.set(block, formatBlock(block));
+    if (newBlocks.length > 0) this.#emit(newBlocks.map(formatBlock), []);
     this.#evict();
   }
 
   #evict(): void {
-    const room = Math.max(0, Math.floor((this.capacityTokens - this.#heldTokens) / BLOCK_TOKENS));
+    const freeBlocks = Math.max(
+      0,
+      Math.floor((this.capacityTokens - this.#heldTokens) / BLOCK_TOKENS),
+    );
     const removed: string[] = [];
     for (const [block, text] of this.#cache) {
-      if (this.#cache.size <= room) break;
+      if (this.#cache.size <= freeBlocks) break;
       this.#cache.delete(block);
       removed.push(text);
     }
--- a/packages/standin/src/engine/orders.ts
+++ b/packages/standin/src/engine/orders.ts
@@ -2,7 +2,7 @@
 import { z } from 'zod';
 
 /** An order to an engine: what to change, and the fencing token of who says so. */
-export const orderSchema = z.object({
+export const fencedCommandSchema = z.object({
   scope: z.string().min(1),
   fence: z.int().nonnegative(),
   /** From receipt; an order that is read later is void. */
@@ -21,18 +21,18 @@
 });
 
 /** A checked order. */
-export type EngineOrder = z.infer<typeof orderSchema>;
+export type FencedCommand = z.infer<typeof fencedCommandSchema>;
 
 /** An order that was followed, for the ground truth. */
-export interface FollowedOrder {
+export interface FollowedCommand {
   readonly atMs: Milliseconds;
-  readonly order: EngineOrder;
+  readonly order: FencedCommand;
 }
 
 /** Decides which orders are followed. */
-export class OrderGate {
+export class CommandGate {
   readonly #highest = new Map<string, number>();
-  readonly followed: FollowedOrder[] = [];
+  readonly followed: FollowedCommand[] = [];
 
   constructor(
     readonly checksFencing: boolean,
@@ -40,7 +40,7 @@
   ) {}
 
   /** Whether the order is to be followed; the highest token seen for the scope is kept. */
-  accept(order: EngineOrder): boolean {
+  accept(order: FencedCommand): boolean {
     const highest = this.#highest.get(order.scope) ?? 0;
     if (this.checksFencing && order.fence < highest) return false;
     this.#highest.set(order.scope, Math.max(highest, order.fence));
--- a/packages/standin/src/platform/app.ts
+++ b/packages/standin/src/platform/app.ts
@@ -6,13 +6,13 @@
 import { z } from 'zod';
 import { noPlatformFaults, platformFaultsSchema } from './faults.js';
 import type { PlatformFaults } from './faults.js';
-import { RateLimit } from './rate.js';
+import { RateLimiter } from './rate.js';
 import { Table, transactionSchema } from './table.js';
 import type { Transaction } from './table.js';
 
 const MAX_BODY_BYTES = 64_000_000;
 const BODY_TIMEOUT_MS = 30_000;
-const MAX_SCAN = 1000;
+const MAX_PAGE_SIZE = 1000;
 const MS_PER_SECOND = 1000;
 
 /** Settings of the platform stand-in. */
@@ -35,11 +35,11 @@
 const hostSchema = z.object({ host: z.string(), state: z.enum(['live', 'leaving', 'gone']) });
 
 /** The platform stand-in: table, object store, host list and weight store. */
-export class Platform {
+export class FakePlatform {
   readonly table: Table;
   readonly faults: PlatformFaults;
-  readonly writes: RateLimit;
-  readonly reads: RateLimit;
+  readonly writes: RateLimiter;
+  readonly reads: RateLimiter;
   readonly objects = new Map<string, Buffer>();
   readonly #hostChanges: HostChange[] = [];
   #weightsFreeAtMs = 0;
@@ -50,12 +50,12 @@
   ) {
     this.table = new Table(clock);
     this.faults = noPlatformFaults(options.hostListLagMs);
-    this.writes = new RateLimit(options.writesPerSecond, clock);
-    this.reads = new RateLimit(options.readsPerSecond, clock);
+    this.writes = new RateLimiter(options.writesPerSecond, clock);
+    this.reads = new RateLimiter(options.readsPerSecond, clock);
   }
 
   /** Applies the outage switches; false where the call gets no answer. */
-  async isReachable(response: ServerResponse): Promise<boolean> {
+  async applyOutageFaults(response: ServerResponse): Promise<boolean> {
     if (this.faults.down) {
       response.destroy();
       return false;
@@ -86,10 +86,10 @@
 
   /** The host list as it was `hostListLagMs` ago. */
   listHosts(): Readonly<Record<string, string>> {
-    const until = this.clock.monotonicMs() - this.faults.hostListLagMs;
+    const untilMs = this.clock.monotonicMs() - this.faults.hostListLagMs;
     const hosts: Record<string, string> = {};
     for (const { atMs, host, state } of this.#hostChanges) {
-      if (atMs <= until) hosts[host] = state;
+      if (atMs <= untilMs) hosts[host] = state;
     }
     return hosts;
   }
@@ -109,10 +109,10 @@
   return undefined;
 }
 
-function addTableRoutes(router: Router, platform: Platform): void {
-  const isAllowed = async (response: ServerResponse, rate: RateLimit): Promise<boolean> => {
-    if (!(await platform.isReachable(response))) return false;
-    if (rate.allow()) return true;
+function addTableRoutes(router: Router, platform: FakePlatform): void {
+  const isAllowed = async (response: ServerResponse, limiter: RateLimiter): Promise<boolean> => {
+    if (!(await platform.applyOutageFaults(response))) return false;
+    if (limiter.allow()) return true;
     sendJson(response, 429, { refused: 'rate' });
     return false;
   };
@@ -131,7 +131,7 @@
     })
     .on('GET', '/table/scan', async ({ response, query }) => {
       if (!(await isAllowed(response, platform.reads))) return;
-      const limit = Math.min(MAX_SCAN, Number(query.get('limit') ?? MAX_SCAN));
+      const limit = Math.min(MAX_PAGE_SIZE, Number(query.get('limit') ?? MAX_PAGE_SIZE));
       const rows = platform.table.scan(query.get('prefix') ?? '', query.get('after') ?? '', limit);
       sendJson(response, 200, { rows: rows.map((row): Json => ({ ...row })) });
     })
@@ -157,14 +157,16 @@
       const prefix = query.get('prefix') ?? '';
       const after = query.get('after') ?? '';
       const names = [...platform.objects.keys()].filter((name) => name.startsWith(prefix)).sort();
-      sendJson(response, 200, { names: names.filter((name) => name > after).slice(0, MAX_SCAN) });
+      sendJson(response, 200, {
+        names: names.filter((name) => name > after).slice(0, MAX_PAGE_SIZE),
+      });
     });
 }
 
-function addOtherRoutes(router: Router, platform: Platform): void {
+function addOtherRoutes(router: Router, platform: FakePlatform): void {
   router
     .on('GET', '/hosts', async ({ response }) => {
-      if (!(await platform.isReachable(response))) return;
+      if (!(await platform.applyOutageFaults(response))) return;
       sendJson(response, 200, { hosts: platform.listHosts() });
     })
     .on('POST', '/hosts', async (context) => {
@@ -202,11 +204,11 @@
 }
 
 /** Starts a platform stand-in. */
-export async function startPlatform(
+export async function startFakePlatform(
   options: PlatformOptions,
   clock: Clock,
-): Promise<{ readonly platform: Platform; readonly server: ListeningServer }> {
-  const platform = new Platform(options, clock);
+): Promise<{ readonly platform: FakePlatform; readonly server: ListeningServer }> {
+  const platform = new FakePlatform(options, clock);
   const router = new Router();
   addTableRoutes(router, platform);
   addOtherRoutes(router, platform);
--- a/packages/standin/src/platform/rate.ts
+++ b/packages/standin/src/platform/rate.ts
@@ -3,30 +3,30 @@
 const MS_PER_SECOND = 1000;
 
 /** Counts calls and allows at most `perSecond` of them, with one second's burst. */
-export class RateLimit {
+export class RateLimiter {
   total = 0;
   refused = 0;
-  #allowance: number;
+  #tokens: number;
   #lastMs: number;
 
   constructor(
     readonly perSecond: number,
     readonly clock: Clock,
   ) {
-    this.#allowance = perSecond;
+    this.#tokens = perSecond;
     this.#lastMs = clock.monotonicMs();
   }
 
   allow(): boolean {
     const now = this.clock.monotonicMs();
-    const gained = ((now - this.#lastMs) * this.perSecond) / MS_PER_SECOND;
-    this.#allowance = Math.min(this.perSecond, this.#allowance + gained);
+    const refilled = ((now - this.#lastMs) * this.perSecond) / MS_PER_SECOND;
+    this.#tokens = Math.min(this.perSecond, this.#tokens + refilled);
     this.#lastMs = now;
-    if (this.#allowance < 1) {
+    if (this.#tokens < 1) {
       this.refused += 1;
       return false;
     }
-    this.#allowance -= 1;
+    this.#tokens -= 1;
     this.total += 1;
     return true;
   }
--- a/packages/standin/src/service/app.ts
+++ b/packages/standin/src/service/app.ts
@@ -29,7 +29,7 @@
 }
 
 /** A plain service: a register that records each call it runs. */
-export class PlainService {
+export class FakeService {
   readonly runs: ServiceRun[] = [];
   readonly faults = { loseAnswers: 0, refuseCalls: 0, restSeconds: 0, slowMs: 0, leaving: false };
 
@@ -64,18 +64,18 @@
 
   #refuse(response: ServerResponse, refused: string): void {
     const { restSeconds } = this.faults;
-    const rest = restSeconds > 0 ? { 'retry-after': String(restSeconds) } : {};
-    sendJson(response, 503, { refused }, { 'x-not-run': '1', ...rest });
+    const backoffHeaders = restSeconds > 0 ? { 'retry-after': String(restSeconds) } : {};
+    sendJson(response, 503, { refused }, { 'x-not-run': '1', ...backoffHeaders });
   }
 }
 
 /** Starts a plain service stand-in. */
-export async function startService(
+export async function startFakeService(
   clock: Clock,
   address: string,
   port: number,
-): Promise<{ readonly service: PlainService; readonly server: ListeningServer }> {
-  const service = new PlainService(clock);
+): Promise<{ readonly service: FakeService; readonly server: ListeningServer }> {
+  const service = new FakeService(clock);
   const router = new Router();
   router
     .on('GET', '/truth', ({ response }) => {
