--- a/packages/standin/src/commands.ts
+++ b/packages/standin/src/commands.ts
@@ -16,12 +16,12 @@
 
 const listenShape = {
   listenAddress: z.string().default('127.0.0.1').describe('address to listen on'),
-  listenPort: portSetting.default(0).describe('port to listen on; 0 takes a free one'),
+  listenPort: portSetting.default(0).describe('port to listen on; 0 for any free port'),
 };
 
 const MS_PER_SECOND = 1000;
 
-/** Prints the address for whoever started the process, and serves until a signal. */
+/** Prints the URL for the parent process and serves until SIGTERM. */
 function serveUntilStopped(url: string): Promise<number> {
   process.stdout.write(`listening url=${url}\n`);
   return new Promise((resolve) => {
@@ -34,11 +34,11 @@
 
 const engineCommand = defineCommand({
   path: ['engine'],
-  description: 'Run a model engine stand-in.',
+  description: 'Run a fake model engine.',
   shape: {
     ...listenShape,
     ...engineModelShape,
-    platformUrl: urlSetting.optional().describe('platform stand-in that holds the weights'),
+    platformUrl: urlSetting.optional().describe('URL of the fake platform that holds the weights'),
   },
   main: async (settings) => {
     const { server } = await startFakeEngine(settings, new SystemClock(), {
@@ -53,7 +53,7 @@
 
 const serviceCommand = defineCommand({
   path: ['service'],
-  description: 'Run a plain service stand-in.',
+  description: 'Run a fake service.',
   shape: listenShape,
   main: async (settings) => {
     const clock = new SystemClock();
@@ -64,14 +64,18 @@
 
 const platformCommand = defineCommand({
   path: ['platform'],
-  description: 'Run a platform stand-in: table, object store, host list, weight store.',
+  description: 'Run a fake platform: table, object store, host list, weight store.',
   shape: {
     ...listenShape,
     writesPerSecond: countSetting
       .default(300)
-      .describe('writes a second of table and object store'),
-    readsPerSecond: countSetting.default(2000).describe('reads a second of table and object store'),
-    hostListLagMs: numberSetting.default(3 * MS_PER_SECOND).describe('lag of the host list'),
+      .describe('writes per second of the table and the object store'),
+    readsPerSecond: countSetting
+      .default(2000)
+      .describe('reads per second of the table and the object store'),
+    hostListLagMs: numberSetting
+      .default(3 * MS_PER_SECOND)
+      .describe('lag of the host list in milliseconds'),
     weightMs: millisecondsSetting.default(MS_PER_SECOND).describe('time to load one model'),
   },
   main: async (settings) => {
--- a/packages/standin/src/engine/app.ts
+++ b/packages/standin/src/engine/app.ts
@@ -30,13 +30,13 @@
 const releaseSchema = z.object({ reservations: z.array(z.string()) });
 const cancelSchema = z.object({ requestId: z.string(), attempt: z.int() });
 
-/** Where the engine stand-in listens and where it takes weights from. */
+/** Where the fake engine listens and where it loads weights from. */
 export interface EngineAppOptions {
   readonly address: string;
   readonly port: number;
-  /** The platform stand-in; without it models load at once. */
+  /** URL of the fake platform. Without it models load immediately. */
   readonly platformUrl: string | undefined;
-  /** What the fault `die` does. */
+  /** Called by the fault switch `die`. */
   readonly onDie: () => void;
 }
 
@@ -169,7 +169,7 @@
     });
 }
 
-/** Starts an engine stand-in. */
+/** Starts a fake engine. */
 export async function startFakeEngine(
   settings: EngineModelSettings,
   clock: Clock,
--- a/packages/standin/src/engine/batch.ts
+++ b/packages/standin/src/engine/batch.ts
@@ -4,20 +4,20 @@
 /** How a sequence ended. */
 export type SequenceEnd = 'done' | 'cancelled' | 'time_limit';
 
-/** One sequence in the batch. */
+/** A sequence to run in the batch. */
 export interface Sequence {
   readonly key: string;
   readonly priority: number;
-  /** Prompt tokens that are not cached or imported. */
+  /** Prompt tokens to prefill: those that are neither cached nor imported. */
   readonly prefillTokens: number;
   /** Index of the first token to generate. */
   readonly firstToken: number;
-  /** Index after the last token to generate. */
+  /** Index one past the last token to generate. */
   readonly endToken: number;
   readonly deadlineMs: Milliseconds;
-  /** Extra time before prefill starts, for imports. */
+  /** Time before prefill starts, in which the KV cache is imported. */
   readonly startDelayMs: Milliseconds;
-  /** Called for each token, in order. */
+  /** Called for each generated token, in order. */
   readonly onToken: (index: number) => void;
   readonly onEnd: (end: SequenceEnd) => void;
 }
@@ -36,14 +36,17 @@
   readonly prefillTokens: number;
 }
 
-/** Continuous batching with chunked prefill: one step at a time, by priority then arrival. */
+/**
+ * Models continuous batching with chunked prefill. Each step decodes one token of every prefilled
+ * sequence and prefills the others up to the chunk size, by priority, then by arrival.
+ */
 export class Batch {
   readonly #running = new Map<string, RunningSequence>();
   #arrivals = 0;
   #cancelTimer: CancelTimer | undefined;
   #nextStepAtMs: Milliseconds = 0;
   #pausedUntilMs: Milliseconds = 0;
-  /** Multiplies every step's time; a fault switch. */
+  /** Fault switch: multiplies the duration of each step. */
   slowdown = 1;
 
   constructor(
@@ -55,7 +58,7 @@
     return this.#running.size;
   }
 
-  /** Adds the prompt tokens still to be prefilled to `byPriority`. */
+  /** Adds the prompt tokens that are still to be prefilled to `byPriority`. */
   addPendingPrefill(byPriority: number[]): void {
     for (const { sequence, prefilled } of this.#running.values()) {
       const tokens = sequence.prefillTokens - prefilled;
@@ -90,7 +93,7 @@
     return true;
   }
 
-  /** Stops stepping for a time; a fault switch. */
+  /** Fault switch: finishes no step within `durationMs`. */
   pause(durationMs: Milliseconds): void {
     this.#pausedUntilMs = this.clock.monotonicMs() + durationMs;
   }
--- a/packages/standin/src/engine/engine.ts
+++ b/packages/standin/src/engine/engine.ts
@@ -17,7 +17,7 @@
 import { FrameWriter } from './frame-writer.js';
 
 const UNAVAILABLE = 503;
-/** One attempt that ran, for the ground truth. */
+/** An attempt that ran, recorded for the ground truth. */
 export interface EngineRun {
   readonly requestId: string;
   readonly attempt: number;
@@ -47,7 +47,7 @@
 const IMPORT_TIMEOUT_MS = 2_000;
 const MAX_RUNS_KEPT = 200_000;
 
-/** One model engine: batch, memory, waiting line, orders and ground truth. */
+/** A fake model engine: batch, KV memory, queue, commands and the ground truth of what it ran. */
 export class FakeEngine {
   readonly batch: Batch;
   readonly memory: KvMemory;
@@ -90,7 +90,7 @@
     return byPriority;
   }
 
-  /** Runs a call, lets it wait, or refuses it with a status that confirms it was not run. */
+  /** Runs a call, queues it, or refuses it with a status that confirms that it was not run. */
   async generate(call: GenerateCall, response: ServerResponse): Promise<void> {
     this.seenDispatches.set(
       call.owner,
@@ -215,7 +215,7 @@
     return run;
   }
 
-  /** Starts what waits, in order, for as long as there is room. */
+  /** Starts queued calls in order until one does not fit; refuses those whose time limit passed. */
   #startWaiting(): void {
     const now = this.clock.monotonicMs();
     for (let next = this.#waiting[0]; next; next = this.#waiting[0]) {
@@ -238,7 +238,7 @@
     return this.batch.cancel(`${requestId}/${String(attempt)}`);
   }
 
-  /** Releases a reservation and lets waiting calls use the room. */
+  /** Releases a reservation and starts queued calls in the freed memory. Returns the freed tokens. */
   release(id: string): number {
     const tokens = this.memory.release(id);
     if (tokens > 0) this.#startWaiting();
--- a/packages/standin/src/engine/faults.ts
+++ b/packages/standin/src/engine/faults.ts
@@ -1,34 +1,34 @@
 import { z } from 'zod';
 
 const faultsSchema = z.strictObject({
-  /** Ends the process at once. */
+  /** Terminates the process immediately. */
   die: z.boolean(),
-  /** Stops stepping for this time. */
+  /** Runs no step for this time. */
   pauseMs: z.number().nonnegative(),
-  /** Multiplies each step's time. */
+  /** Multiplies the duration of each step. */
   slowdown: z.number().positive(),
   /** Cuts this many of the next streams after `cutAfterTokens` tokens. */
   cutStreams: z.int().nonnegative(),
   cutAfterTokens: z.int().nonnegative(),
-  /** Runs the next calls but closes the connection in place of an answer. */
+  /** Runs this many of the next calls but closes the connection instead of responding. */
   loseAnswers: z.int().nonnegative(),
-  /** Refuses the next calls with status 503. */
+  /** Refuses this many of the next calls with status 503. */
   refuseCalls: z.int().nonnegative(),
-  /** Asks for this rest with each call that it refuses so; 0: for none. */
+  /** Asks for a backoff of this length (Retry-After) in each response with status 503; 0 for none. */
   restSeconds: z.number().nonnegative(),
-  /** Drops every n-th cache event; 0 drops none. */
+  /** Drops every n-th cache event; 0 for none. */
   dropCacheEventEvery: z.int().nonnegative(),
   cacheEventDelayMs: z.number().nonnegative(),
-  /** Says that it is leaving. */
+  /** Reports that it is leaving. */
   leaving: z.boolean(),
-  /** Sends each frame of the next streams twice and one stale frame of an older attempt. */
+  /** In this many of the next streams, sends each frame twice and a stale frame of an older attempt. */
   repeatFrames: z.int().nonnegative(),
 });
 
-/** Fault switches of the engine stand-in; absent fields stay as they are. */
+/** Fault switches of the fake engine. Absent fields keep their values. */
 export const engineFaultsSchema = faultsSchema.partial();
 
-/** Fault switches in force. */
+/** Current fault switches. */
 export type EngineFaults = z.infer<typeof faultsSchema>;
 
 /** No faults. */
--- a/packages/standin/src/engine/feeds.ts
+++ b/packages/standin/src/engine/feeds.ts
@@ -6,11 +6,14 @@
 interface Subscriber {
   readonly response: ServerResponse;
   readonly owner: string;
-  /** Every how many reports one is sent. */
+  /** Receives every n-th report. */
   readonly every: number;
 }
 
-/** Sends load reports with a lag, and cache events late and with gaps, as lines of JSON. */
+/**
+ * Streams load reports and cache events as lines of JSON. Load reports are sent with a lag, and
+ * cache events can be delayed or dropped by the fault switches.
+ */
 export class EngineFeeds {
   readonly #loadSubscribers = new Set<Subscriber>();
   readonly #cacheSubscribers = new Set<ServerResponse>();
@@ -26,7 +29,7 @@
     });
   }
 
-  /** The load as it is now; `seen` is the last dispatch of `owner` that it counts. */
+  /** The current load. `seen` is the highest dispatch number of `owner` that it includes. */
   currentLoad(owner: string): Readonly<Record<string, unknown>> {
     const { engine } = this;
     return {
@@ -44,7 +47,7 @@
     };
   }
 
-  /** Sends reports to a host, no more often than each `periodMs`. */
+  /** Sends reports to a host, about every `periodMs` but not faster than the engine's report period. */
   subscribeLoad(response: ServerResponse, owner: string, periodMs: Milliseconds): void {
     this.#openStream(response);
     const every = Math.max(1, Math.round(periodMs / this.engine.settings.reportPeriodMs));
--- a/packages/standin/src/engine/frame-writer.ts
+++ b/packages/standin/src/engine/frame-writer.ts
@@ -3,8 +3,9 @@
 import type { EngineFaults } from './faults.js';
 
 /**
- * Writes one attempt's stream as server-sent events. Each event's id is `ATTEMPT:INDEX`;
- * the last event has the type `done`. A stream without `done` isn't whole.
+ * Writes one attempt's stream as server-sent events, with the faults that are set. Each token's
+ * event has the id `ATTEMPT:INDEX`; the last event has the type `done`. A stream without `done` is
+ * incomplete.
  */
 export class FrameWriter {
   readonly #cutAt: number;
--- a/packages/standin/src/engine/generate-call.ts
+++ b/packages/standin/src/engine/generate-call.ts
@@ -22,17 +22,17 @@
   'x-max-tokens': headerNumber.pipe(z.int().positive()).optional(),
   'x-time-remaining-ms': headerNumber.pipe(z.number().positive()).default(600_000),
   'x-resume-offset': headerNumber.pipe(z.int().nonnegative()).default(0),
-  /** 1: wait inside the engine for memory; 0: be refused at once. */
+  /** 1: queue in the engine until memory is free; 0: be refused immediately. */
   'x-wait': z.enum(['0', '1']).default('1'),
-  /** Use this reservation in place of a new one. */
+  /** Run under this reservation instead of a new one. */
   'x-reservation': z.string().optional(),
-  /** Prefill only, then hold the KV cache for export. */
+  /** 1: prefill only, then hold the KV cache for export. */
   'x-prefill-only': z.enum(['0', '1']).default('0'),
-  /** `URL#RESERVATION` of the KV caches that come before this prompt, comma separated. */
+  /** `URL#RESERVATION` of the KV caches to import before this prompt, comma separated, in order. */
   'x-imports': z.string().optional(),
 });
 
-/** A checked call to generate. */
+/** A validated call to generate. */
 export interface GenerateCall {
   readonly requestId: string;
   readonly attempt: number;
@@ -51,7 +51,7 @@
   readonly maxTokens: number;
 }
 
-/** Checks a call; a string says what is wrong. */
+/** Validates a call. Returns a string that names the invalid header or field if there is one. */
 export function parseGenerateCall(
   headers: Readonly<Record<string, string | readonly string[] | undefined>>,
   body: string,
@@ -81,7 +81,7 @@
   };
 }
 
-/** The blocks of a prompt after what was imported, and the chain value after all of it. */
+/** Chain hashes of a prompt's blocks and of the whole prompt, continued from an imported prefix. */
 export function hashPrompt(
   prompt: string,
   start: bigint = CHAIN_START,
--- a/packages/standin/src/engine/kv-memory.ts
+++ b/packages/standin/src/engine/kv-memory.ts
@@ -1,7 +1,7 @@
 import type { Clock, Milliseconds } from '@poppypond/core';
 import { BLOCK_TOKENS } from '@poppypond/hashing';
 
-/** Memory held for one attempt of one request. */
+/** Memory reserved for one attempt of a request. */
 export interface Reservation {
   readonly id: string;
   readonly owner: string;
@@ -12,21 +12,21 @@
   /** When the request's time limit passes. */
   readonly deadlineMs: Milliseconds;
   readonly renewals: number;
-  /** The chain value after the prefilled part, once it is exported. */
+  /** Tokens and chain hash of the prefilled part, once it can be exported. */
   readonly exported?: { readonly tokens: number; readonly chain: bigint };
 }
 
-/** A change of the prefix cache. */
+/** A change of the prefix cache: blocks by formatted chain hash. */
 export interface CacheEvent {
   readonly sequence: number;
   readonly added: readonly string[];
   readonly removed: readonly string[];
 }
 
-/** KV memory: reservations first, cached prefix blocks in what is left. */
+/** KV cache memory. Reservations come first; cached prefix blocks use what is left. */
 export class KvMemory {
   readonly #reservations = new Map<string, Reservation>();
-  /** Least recently used first. */
+  /** Formatted chain hashes of cached blocks, least recently used first. */
   readonly #cache = new Map<bigint, string>();
   #heldTokens = 0;
   #eventSequence = 0;
@@ -58,7 +58,9 @@
     return this.#reservations.get(id);
   }
 
-  /** Reserves all or nothing; the claim's deadline is from now. */
+  /**
+   * Reserves the memory, or returns undefined if it is not free. `claim.deadlineMs` counts from now.
+   */
   reserve(
     claim: Pick<Reservation, 'owner' | 'requestId' | 'attempt' | 'tokens' | 'deadlineMs'>,
     ttlMs: Milliseconds,
@@ -103,7 +105,7 @@
     return reservation.tokens;
   }
 
-  /** How many leading tokens of a prompt are cached; touches them. */
+  /** Returns the number of leading prompt tokens that are cached; marks their blocks as used. */
   matchPrefix(blocks: readonly bigint[]): number {
     let matched = 0;
     for (const block of blocks) {
@@ -116,7 +118,7 @@
     return matched * BLOCK_TOKENS;
   }
 
-  /** Keeps the blocks of a prompt for later requests, as far as memory is free. */
+  /** Caches the blocks of a prompt for later requests, as far as memory is free. */
   cacheBlocks(blocks: readonly bigint[], formatBlock: (block: bigint) => string): void {
     const freeBlocks = Math.floor((this.capacityTokens - this.#heldTokens) / BLOCK_TOKENS);
     const newBlocks = blocks
--- a/packages/standin/src/engine/model-settings.ts
+++ b/packages/standin/src/engine/model-settings.ts
@@ -7,29 +7,37 @@
 } from '@poppypond/settings';
 
 /**
- * What the engine stand-in models. The users have not given step times; the defaults are ours,
- * chosen so that one engine prefills 50,000 tokens a second and a decode step takes 12 ms.
+ * Settings of the engine model. By default one engine prefills 50,000 tokens per second and a
+ * decode step takes 12 ms; these step times are assumptions, as the users have given none.
  */
 export const engineModelShape = {
-  kvTokens: countSetting.default(400_000).describe('KV memory in tokens'),
-  stepBaseMs: numberSetting.default(12).describe('time of a step with nothing in it'),
+  kvTokens: countSetting.default(400_000).describe('KV cache memory in tokens'),
+  stepBaseMs: numberSetting.default(12).describe('duration of an empty step in milliseconds'),
   decodeMs: numberSetting
     .default(0.05)
-    .describe('time added to a step by each sequence that decodes'),
-  prefillMs: numberSetting.default(0.02).describe('time added to a step by each prompt token'),
-  chunkTokens: countSetting.default(2048).describe('most prompt tokens in one step'),
-  maxRunning: countSetting.default(128).describe('most sequences in one batch'),
-  importMs: numberSetting.default(0.0005).describe('time to import one token of KV cache'),
+    .describe('time in milliseconds that each decoding sequence adds to a step'),
+  prefillMs: numberSetting
+    .default(0.02)
+    .describe('time in milliseconds that each prompt token adds to a step'),
+  chunkTokens: countSetting.default(2048).describe('maximum prompt tokens in one step'),
+  maxRunning: countSetting.default(128).describe('maximum sequences in one batch'),
+  importMs: numberSetting
+    .default(0.0005)
+    .describe('time in milliseconds to import one token of KV cache'),
   reportPeriodMs: millisecondsSetting.default(100).describe('time between load reports'),
-  reportLagMs: numberSetting.default(100).describe('how old a load report is when it is sent'),
-  models: listSetting.default(['general']).describe('models held at the start, comma separated'),
+  reportLagMs: numberSetting
+    .default(100)
+    .describe('age in milliseconds of a load report when it is sent'),
+  models: listSetting.default(['general']).describe('models loaded at the start, comma separated'),
   printRuns: booleanSetting
     .default(false)
-    .describe('print each request that runs, as a ground truth that outlives the process'),
-  checksFencing: booleanSetting.default(true).describe('refuse orders with an older fencing token'),
+    .describe('print each request that runs, so that its record survives the process'),
+  checksFencing: booleanSetting
+    .default(true)
+    .describe('refuse commands with an outdated fencing token'),
 };
 
-/** The engine model's settings. */
+/** Settings of the engine model. */
 export interface EngineModelSettings {
   readonly kvTokens: number;
   readonly stepBaseMs: number;
--- a/packages/standin/src/engine/orders.ts
+++ b/packages/standin/src/engine/orders.ts
@@ -1,11 +1,11 @@
 import type { Clock, Milliseconds } from '@poppypond/core';
 import { z } from 'zod';
 
-/** An order to an engine: what to change, and the fencing token of who says so. */
+/** A command to an engine and the fencing token of its sender's lease. */
 export const fencedCommandSchema = z.object({
   scope: z.string().min(1),
   fence: z.int().nonnegative(),
-  /** From receipt; an order that is read later is void. */
+  /** Time from receipt after which the command expires. */
   expiresInMs: z.number().positive(),
   order: z.discriminatedUnion('kind', [
     z.object({
@@ -20,16 +20,16 @@
   ]),
 });
 
-/** A checked order. */
+/** A validated command. */
 export type FencedCommand = z.infer<typeof fencedCommandSchema>;
 
-/** An order that was followed, for the ground truth. */
+/** A command that was accepted, recorded for the ground truth. */
 export interface FollowedCommand {
   readonly atMs: Milliseconds;
   readonly order: FencedCommand;
 }
 
-/** Decides which orders are followed. */
+/** Accepts commands, and refuses those with an outdated fencing token if `checksFencing` is set. */
 export class CommandGate {
   readonly #highest = new Map<string, number>();
   readonly followed: FollowedCommand[] = [];
@@ -39,7 +39,7 @@
     readonly clock: Clock,
   ) {}
 
-  /** Whether the order is to be followed; the highest token seen for the scope is kept. */
+  /** Whether the command is to be executed. Keeps the highest fencing token of each scope. */
   accept(order: FencedCommand): boolean {
     const highest = this.#highest.get(order.scope) ?? 0;
     if (this.checksFencing && order.fence < highest) return false;
--- a/packages/standin/src/platform/app.ts
+++ b/packages/standin/src/platform/app.ts
@@ -15,14 +15,14 @@
 const MAX_PAGE_SIZE = 1000;
 const MS_PER_SECOND = 1000;
 
-/** Settings of the platform stand-in. */
+/** Settings of the fake platform. */
 export interface PlatformOptions {
   readonly address: string;
   readonly port: number;
   readonly writesPerSecond: number;
   readonly readsPerSecond: number;
   readonly hostListLagMs: number;
-  /** Time that one model's weights take when nothing else loads. */
+  /** Time to load one model's weights while no other load is in progress. */
   readonly weightMs: number;
 }
 
@@ -34,7 +34,7 @@
 
 const hostSchema = z.object({ host: z.string(), state: z.enum(['live', 'leaving', 'gone']) });
 
-/** The platform stand-in: table, object store, host list and weight store. */
+/** The fake platform: table, object store, host list and weight store. */
 export class FakePlatform {
   readonly table: Table;
   readonly faults: PlatformFaults;
@@ -54,7 +54,7 @@
     this.reads = new RateLimiter(options.readsPerSecond, clock);
   }
 
-  /** Applies the outage switches; false where the call gets no answer. */
+  /** Applies the outage switches to a call. Returns false if the call gets no response. */
   async applyOutageFaults(response: ServerResponse): Promise<boolean> {
     if (this.faults.down) {
       response.destroy();
@@ -94,7 +94,7 @@
     return hosts;
   }
 
-  /** Waits for one model's weights; loads share one rate. */
+  /** Waits for one model's weights. Loads run one after another, as they share the bandwidth. */
   async loadWeights(): Promise<void> {
     const now = this.clock.monotonicMs();
     this.#weightsFreeAtMs = Math.max(now, this.#weightsFreeAtMs) + this.options.weightMs;
@@ -203,7 +203,7 @@
     });
 }
 
-/** Starts a platform stand-in. */
+/** Starts a fake platform. */
 export async function startFakePlatform(
   options: PlatformOptions,
   clock: Clock,
--- a/packages/standin/src/platform/faults.ts
+++ b/packages/standin/src/platform/faults.ts
@@ -1,21 +1,21 @@
 import { z } from 'zod';
 
-/** Fault switches of the platform stand-in; absent fields stay as they are. */
+/** Fault switches of the fake platform. Absent fields keep their values. */
 export const platformFaultsSchema = z.strictObject({
-  /** Closes connections to table and object store without an answer. */
+  /** Closes connections to the table and the object store without a response. */
   down: z.boolean().optional(),
-  /** Takes calls and never answers. */
+  /** Accepts calls and never responds. */
   hang: z.boolean().optional(),
   slowMs: z.number().nonnegative().optional(),
-  /** Applies this many of the next writes whose key starts with `lostPrefix`, then loses the answer. */
+  /** Applies this many of the next writes whose key starts with `lostPrefix`, but loses the response. */
   loseWriteAnswers: z.int().nonnegative().optional(),
   lostPrefix: z.string().optional(),
-  /** Delays the effect of writes whose answer is lost. */
+  /** Delays the effect of writes whose response is lost. */
   lostEffectDelayMs: z.number().nonnegative().optional(),
   hostListLagMs: z.number().nonnegative().optional(),
 });
 
-/** Fault switches in force. */
+/** Current fault switches. */
 export interface PlatformFaults {
   down: boolean;
   hang: boolean;
@@ -26,7 +26,7 @@
   hostListLagMs: number;
 }
 
-/** No faults, but the host list's ordinary lag. */
+/** No faults except the normal lag of the host list. */
 export function noPlatformFaults(hostListLagMs: number): PlatformFaults {
   return {
     down: false,
--- a/packages/standin/src/platform/rate.ts
+++ b/packages/standin/src/platform/rate.ts
@@ -2,7 +2,7 @@
 
 const MS_PER_SECOND = 1000;
 
-/** Counts calls and allows at most `perSecond` of them, with one second's burst. */
+/** Token bucket that allows `perSecond` calls, with a burst of one second's calls, and counts them. */
 export class RateLimiter {
   total = 0;
   refused = 0;
--- a/packages/standin/src/platform/table.ts
+++ b/packages/standin/src/platform/table.ts
@@ -3,7 +3,7 @@
 
 const jsonSchema: z.ZodType<Json> = z.json();
 
-/** A transaction: every check must hold, then every write is applied. */
+/** A transaction. If every check holds, all writes are applied; otherwise none is. */
 export const transactionSchema = z.object({
   /** `version` 0 means that the row must not exist. */
   checks: z.array(z.object({ key: z.string(), version: z.int().nonnegative() })).default([]),
@@ -11,10 +11,10 @@
   deletes: z.array(z.string()).default([]),
 });
 
-/** A checked transaction. */
+/** A validated transaction. */
 export type Transaction = z.infer<typeof transactionSchema>;
 
-/** A row. */
+/** A row with the version of its last write. */
 export interface Row {
   readonly key: string;
   readonly version: number;
@@ -33,7 +33,7 @@
     return this.#rows.get(key);
   }
 
-  /** Rows whose key starts with `prefix` and is after `after`. */
+  /** Returns up to `limit` rows, in key order, whose key starts with `prefix` and sorts after `after`. */
   scan(prefix: string, after: string, limit: number): readonly Row[] {
     this.#sorted ??= [...this.#rows.keys()].sort();
     const rows: Row[] = [];
@@ -46,7 +46,10 @@
     return rows;
   }
 
-  /** Applies a transaction; otherwise returns the rows whose check failed. */
+  /**
+   * Applies a transaction and returns an empty list, or applies nothing and returns the rows whose
+   * check failed, with their current version (0 if the row does not exist).
+   */
   transact(
     transaction: Transaction,
   ): readonly { readonly key: string; readonly version: number }[] {
@@ -66,7 +69,7 @@
     return [];
   }
 
-  /** The version of the newest write. */
+  /** Version of the latest transaction. */
   get version(): number {
     return this.#version;
   }
--- a/packages/standin/src/service/app.ts
+++ b/packages/standin/src/service/app.ts
@@ -9,17 +9,17 @@
 const BODY_TIMEOUT_MS = 10_000;
 
 const serviceFaultsSchema = z.strictObject({
-  /** Runs the next calls, then closes the connection without an answer. */
+  /** Runs this many of the next calls but closes the connection instead of responding. */
   loseAnswers: z.int().nonnegative().optional(),
-  /** Refuses the next calls with status 503 and doesn't run them. */
+  /** Refuses this many of the next calls with status 503 without running them. */
   refuseCalls: z.int().nonnegative().optional(),
-  /** Asks for this rest with each call that it refuses; 0: for none. */
+  /** Asks for a backoff of this length (Retry-After) with each call that it refuses; 0 for none. */
   restSeconds: z.number().nonnegative().optional(),
   slowMs: z.number().nonnegative().optional(),
   leaving: z.boolean().optional(),
 });
 
-/** One call that ran, for the ground truth. */
+/** A call that ran, recorded for the ground truth. */
 export interface ServiceRun {
   readonly atMs: number;
   readonly requestId: string;
@@ -28,14 +28,14 @@
   readonly body: string;
 }
 
-/** A plain service: a register that records each call it runs. */
+/** A fake service that records each call that it runs. */
 export class FakeService {
   readonly runs: ServiceRun[] = [];
   readonly faults = { loseAnswers: 0, refuseCalls: 0, restSeconds: 0, slowMs: 0, leaving: false };
 
   constructor(readonly clock: Clock) {}
 
-  /** Runs one call and answers with a receipt. */
+  /** Runs a call and responds with a receipt: the number of calls run so far. */
   async run(request: IncomingMessage, response: ServerResponse): Promise<void> {
     const body = await readBody(request, MAX_BODY_BYTES, BODY_TIMEOUT_MS);
     if (body.isErr) return sendFault(response, body.error);
@@ -69,7 +69,7 @@
   }
 }
 
-/** Starts a plain service stand-in. */
+/** Starts a fake service. */
 export async function startFakeService(
   clock: Clock,
   address: string,
