--- a/packages/demo/src/check.ts
+++ b/packages/demo/src/check.ts
@@ -19,7 +19,7 @@
   return isCorrect;
 }
 
-/** Sends one short and one long prompt and verifies both answers. */
+/** Sends one short and one long prompt. Returns whether both answers are correct. */
 export async function checkDemo(demo: RunningDemo): Promise<boolean> {
   const isShortCorrect = await checkPrompt(
     demo.gatewayUrl,
--- a/packages/demo/src/commands.ts
+++ b/packages/demo/src/commands.ts
@@ -4,15 +4,15 @@
 import { startDemo } from './demo.js';
 import { printUsageAndFigures } from './figures.js';
 
-/** The embedded default: everything in one process on loopback. */
+/** Runs the whole system in one process on loopback. */
 export const demoCommand = defineCommand({
-  description: 'Run gateway, controller, admin and stand-ins in one process on loopback.',
+  description: 'Run gateway, controller, admin and fake servers in one process on loopback.',
   shape: {
     port: portSetting.default(8080).describe('port for callers; 0 takes a free one'),
     adminPort: portSetting.default(8090).describe('port for operators; 0 takes a free one'),
     check: booleanSetting
       .default(false)
-      .describe('send one short and one long prompt, verify both answers, exit'),
+      .describe('send one short and one long prompt, verify both answers and exit'),
   },
   main: async ({ port, adminPort, check }) => {
     const clock = new SystemClock();
--- a/packages/demo/src/demo.ts
+++ b/packages/demo/src/demo.ts
@@ -8,7 +8,7 @@
 import { callHttp } from '@poppypond/web';
 import { z } from 'zod';
 
-/** A demo that runs. */
+/** A running demo. */
 export interface RunningDemo {
   readonly gatewayUrl: string;
   readonly adminUrl: string;
@@ -23,7 +23,7 @@
 const READY_POLL_MS = 20;
 const MAX_READY_CHECKS = 500;
 
-/** One engine prefills 200,000 tokens a second here, so that a review takes a few seconds. */
+/** An engine prefills 200,000 tokens per second here, so that a `review` takes a few seconds. */
 const ENGINE_SETTINGS = {
   kvTokens: 400_000,
   stepBaseMs: 4,
@@ -71,7 +71,8 @@
     body: JSON.stringify({ why: 'the demo', objects: sampleObjects(engines, services) }),
     timeoutMs: APPLY_TIMEOUT_MS,
   });
-  if (reply.isErr || reply.value.status !== 200) throw new Error('the sample was not applied');
+  if (reply.isErr || reply.value.status !== 200)
+    throw new Error('the sample objects were not applied');
 }
 
 const statusSchema = z.object({
@@ -92,10 +93,10 @@
       clock.after(READY_POLL_MS, resolve);
     });
   }
-  throw new Error('the gateway did not become ready');
+  throw new Error('the gateway did not become ready in time');
 }
 
-/** Starts everything in this process. */
+/** Starts fake platform, engines and service, gateway, admin and controller in this process. */
 export async function startDemo(
   clock: Clock,
   port: number,
--- a/packages/demo/src/figures.ts
+++ b/packages/demo/src/figures.ts
@@ -38,7 +38,7 @@
   );
 }
 
-/** Prints how to use the demo, then its figures every two seconds. */
+/** Prints how to use the demo, then its status every two seconds. */
 export function printUsageAndFigures(demo: RunningDemo, clock: Clock): void {
   const body = JSON.stringify({
     model: SAMPLE_MODEL,
--- a/packages/launch/src/fleet.ts
+++ b/packages/launch/src/fleet.ts
@@ -12,18 +12,18 @@
   readonly engines: number;
   readonly services: number;
   readonly controllers?: number;
-  /** Tells the admin program the gateways' addresses, by a second start. */
+  /** Restarts the admin program with the gateways' addresses, once the gateways have started. */
   readonly passesGatewaysToAdmin?: boolean;
   readonly zones?: readonly string[];
   readonly gatewayFlags?: Flags;
   readonly engineFlags?: Flags;
   readonly platformFlags?: Flags;
   readonly controllerFlags?: Flags;
-  /** Objects in place of or beside the sample's; the same kind and name replaces. */
+  /** Objects beside the sample's; one with the same kind and name replaces the sample's. */
   readonly objects?: readonly SampleObject[];
 }
 
-/** A backend server that runs as a process. */
+/** A backend server that runs as its own process. */
 export interface FleetServer extends SampleServer {
   readonly program: RunningProgram;
 }
@@ -37,7 +37,10 @@
 const statusSchema = z.object({ engines: z.array(z.object({ reportAgeMs: z.number() })) });
 const appliedSchema = z.object({ revision: z.int() });
 
-/** Polls until `check` holds; an event that can be seen, not a fixed time, ends the wait. */
+/**
+ * Polls until `check` returns true, so that a wait ends with an observable event and not after a
+ * fixed time. Throws after `timeoutMs`.
+ */
 export async function waitUntil(
   what: string,
   check: () => Promise<boolean> | boolean,
@@ -50,13 +53,13 @@
   }
 }
 
-/** Gets JSON; undefined where there is no answer with status 200. */
+/** Gets JSON. Returns undefined unless a response with status 200 arrives. */
 export async function getJson(url: string): Promise<unknown> {
   const reply = await callHttp({ method: 'GET', url, timeoutMs: CALL_TIMEOUT_MS });
   return reply.isOk && reply.value.status === 200 ? parseJson(reply.value.body) : undefined;
 }
 
-/** Sets fault switches of a stand-in. */
+/** Sets fault switches of a fake server. Throws if they are not accepted. */
 export async function setFaults(
   url: string,
   faults: Readonly<Record<string, unknown>>,
@@ -68,7 +71,7 @@
     body,
     timeoutMs: CALL_TIMEOUT_MS,
   });
-  if (reply.isErr || reply.value.status !== 200) throw new Error(`faults were not set at ${url}`);
+  if (reply.isErr || reply.value.status !== 200) throw new Error(`could not set faults at ${url}`);
 }
 
 function startAdmin(platformUrl: string, gateways: readonly string[]): Promise<RunningProgram> {
@@ -82,7 +85,7 @@
   });
 }
 
-/** A fleet of real processes on loopback: stand-ins, gateways, controllers, admin. */
+/** A fleet of processes on loopback: fake platform and servers, gateways, controllers, admin. */
 export class Fleet {
   readonly gateways: RunningProgram[] = [];
   readonly controllers: RunningProgram[] = [];
@@ -100,7 +103,7 @@
     return this.options.zones ?? DEFAULT_ZONES;
   }
 
-  /** Starts everything and waits until every gateway is ready and sees every engine. */
+  /** Starts all processes and waits until every gateway is ready and knows every engine's load. */
   static async start(options: FleetOptions): Promise<Fleet> {
     const platform = await startProgram('standin', ['platform'], { ...options.platformFlags });
     const admin = await startAdmin(platform.url, []);
@@ -136,7 +139,7 @@
     }
   }
 
-  /** Starts an engine; the caller adds it to the configuration. */
+  /** Starts an engine. The caller adds it to the configuration. */
   async startEngine(): Promise<FleetServer> {
     this.#startedCount += 1;
     const number = this.#startedCount;
@@ -148,7 +151,7 @@
     return { name: `engine-${String(number).padStart(3, '0')}`, url: program.url, zone, program };
   }
 
-  /** Ends an engine at once and starts another at the same address. */
+  /** Kills an engine and starts another at the same address. */
   async replaceEngine(engine: FleetServer): Promise<FleetServer> {
     await engine.program.kill();
     const program = await startProgram('standin', ['engine'], {
@@ -162,7 +165,7 @@
     return next;
   }
 
-  /** Puts a new gateway in the place of one that has ended or is about to. */
+  /** Starts a gateway and lists it in place of one that has exited or is about to. */
   async replaceGateway(gateway: RunningProgram): Promise<RunningProgram> {
     const next = await this.startGateway();
     this.gateways.pop();
@@ -206,7 +209,7 @@
     return controller;
   }
 
-  /** Waits until each live gateway is ready and has a report of each engine. */
+  /** Waits until each running gateway is ready and has a recent report of each engine. */
   async waitReady(): Promise<void> {
     const isReady = async () => (await this.#findNotReady()) === undefined;
     await waitUntil('gateways ready', isReady).catch(async () => {
@@ -214,7 +217,7 @@
     });
   }
 
-  /** Says which gateway is not ready and why; undefined when all are. */
+  /** Describes a gateway that is not ready and why. Returns undefined if all are ready. */
   async #findNotReady(): Promise<string | undefined> {
     for (const gateway of this.gateways) {
       if (gateway.hasExited) continue;
@@ -235,7 +238,7 @@
     return undefined;
   }
 
-  /** Applies objects as the sample operator; the revision that accepted them. */
+  /** Applies objects as the sample operator. Returns the revision that contains them. */
   async apply(objects: readonly SampleObject[], why: string): Promise<number> {
     const reply = await callHttp({
       method: 'POST',
@@ -249,7 +252,7 @@
     return appliedSchema.parse(parseJson(reply.value.body)).revision;
   }
 
-  /** Ends every process. */
+  /** Kills every process, including suspended ones. */
   async stop(): Promise<void> {
     const servers = [...this.engines, ...this.services].map((server) => server.program);
     const programs = [...this.gateways, ...this.controllers, this.admin, ...servers, this.platform];
--- a/packages/launch/src/program.ts
+++ b/packages/launch/src/program.ts
@@ -2,7 +2,7 @@
 import type { ChildProcess } from 'node:child_process';
 import { fileURLToPath } from 'node:url';
 
-/** The programs that can be started. */
+/** Programs that can be started. */
 export type ProgramName = 'gateway' | 'controller' | 'admin' | 'standin';
 
 /** Settings as flags, without the leading dashes. */
@@ -24,17 +24,17 @@
   });
 }
 
-/** A program that runs as a process of its own. */
+/** A program that runs as its own process. */
 export class RunningProgram {
   log = '';
-  /** Requests that the program said it ran; known even after it was killed. */
+  /** Requests that the program printed as run; available even after it was killed. */
   readonly ran = new Set<string>();
   #exit: Promise<number | null>;
 
   constructor(
     readonly name: ProgramName,
     readonly child: ChildProcess,
-    /** `KEY=VALUE` pairs of the line that the program prints when it listens. */
+    /** `KEY=VALUE` pairs of the line that the program prints when it starts listening. */
     readonly listening: ReadonlyMap<string, string>,
   ) {
     this.#exit = new Promise((resolve) => {
@@ -68,7 +68,7 @@
     if (!this.hasExited) this.child.kill(signal);
   }
 
-  /** Resolves with the exit code when the process has ended. */
+  /** Resolves with the exit code when the process has exited; null if a signal ended it. */
   ended(): Promise<number | null> {
     return this.hasExited ? Promise.resolve(this.child.exitCode) : this.#exit;
   }
@@ -88,7 +88,7 @@
   return new Map(pairs.map(([key = '', value = '']) => [key, value]));
 }
 
-/** Starts a program and resolves when it listens. */
+/** Starts a program. Resolves when it listens; rejects if it exits or does not listen in time. */
 export function startProgram(
   name: ProgramName,
   commandPath: readonly string[],
@@ -105,7 +105,7 @@
     let output = '';
     const timer = setTimeout(() => {
       child.kill('SIGKILL');
-      reject(new Error(`${name} did not start: ${output}`));
+      reject(new Error(`${name} did not start listening in time: ${output}`));
     }, START_TIMEOUT_MS);
     const onOutput = (chunk: Buffer) => {
       output += chunk.toString('utf8');
@@ -119,7 +119,7 @@
     const onError = (chunk: Buffer) => (output += chunk.toString('utf8'));
     const onExit = () => {
       clearTimeout(timer);
-      reject(new Error(`${name} ended: ${output}`));
+      reject(new Error(`${name} exited before it was listening: ${output}`));
     };
     child.stdout.on('data', onOutput);
     child.stderr.on('data', onError);
--- a/packages/load/src/commands.ts
+++ b/packages/load/src/commands.ts
@@ -13,16 +13,24 @@
 
 /** The only command of `poppypond-load`. */
 export const loadCommand = defineCommand({
-  description: 'Send a seeded workload to gateways on loopback and print its figures as JSON.',
+  description: 'Send a seeded workload to gateways on loopback and print a summary as JSON.',
   shape: {
     urls: listSetting.describe('gateway addresses, comma separated'),
     seed: countSetting.default(1).describe('seed of the workload'),
-    requestsPerSecond: numberSetting.default(20).describe('mean rate of arrivals'),
-    durationMs: millisecondsSetting.default(10_000).describe('time over which requests arrive'),
-    burstFactor: numberSetting.default(2).describe('how much more often requests come in a burst'),
+    requestsPerSecond: numberSetting
+      .default(20)
+      .describe('mean arrival rate in requests per second outside a burst'),
+    durationMs: millisecondsSetting
+      .default(10_000)
+      .describe('time in milliseconds during which requests arrive'),
+    burstFactor: numberSetting
+      .default(2)
+      .describe('factor by which the arrival rate increases in a burst'),
     hugeShare: numberSetting.default(0.02).describe('share of prompts over 100,000 tokens'),
-    timeLimitMs: millisecondsSetting.default(60_000).describe('time limit of each request'),
-    samples: z.string().optional().describe('file for one JSON line for each request'),
+    timeLimitMs: millisecondsSetting
+      .default(60_000)
+      .describe('time limit of each request in milliseconds'),
+    samples: z.string().optional().describe('file to write with one JSON line per request'),
   },
   main: async (settings) => {
     const samples = await runLoad(makeWorkload(settings), settings);
--- a/packages/load/src/run-load.ts
+++ b/packages/load/src/run-load.ts
@@ -4,7 +4,7 @@
 import { makeArrivalPrompt } from './workload.js';
 import type { Arrival } from './workload.js';
 
-/** One request's result. */
+/** Result of one request. */
 export interface LoadSample {
   readonly index: number;
   readonly atMs: number;
@@ -12,14 +12,14 @@
   readonly workspace: string;
   readonly code: StreamOutcome['code'];
   readonly requestId: string;
-  /** From the time it was due, not from when it was sent: no coordinated omission. */
+  /** From the scheduled arrival, not the actual send, to avoid coordinated omission. */
   readonly firstTokenMs: number | undefined;
   readonly totalMs: number;
   readonly tokens: number;
   readonly retryAfterMs: number | undefined;
 }
 
-/** Where a workload is sent. */
+/** Where and with which seed and time limit a workload is sent. */
 export interface LoadTarget {
   readonly urls: readonly string[];
   readonly seed: number;
@@ -44,7 +44,7 @@
   return { index, atMs, promptTokens, workspace, ...result };
 }
 
-/** Sends each arrival at its time, whatever the others do, and waits for all results. */
+/** Sends each request at its arrival time, independent of the others, and waits for all results. */
 export function runLoad(
   arrivals: readonly Arrival[],
   target: LoadTarget,
--- a/packages/load/src/sample-objects.ts
+++ b/packages/load/src/sample-objects.ts
@@ -7,7 +7,7 @@
   readonly zone: string;
 }
 
-/** An operators' object as it is sent to the API. */
+/** A configuration object as operators send it to the API. */
 export interface SampleObject {
   readonly kind: string;
   readonly name: string;
@@ -15,16 +15,16 @@
   readonly spec: Readonly<Record<string, unknown>>;
 }
 
-/** The key of the operator of sample fleets. */
+/** API key of the operator of sample fleets. */
 export const SAMPLE_OPERATOR_KEY = 'operator-key';
 
-/** The model of sample fleets. */
+/** Name of the model of sample fleets. */
 export const SAMPLE_MODEL = 'general';
 
-/** The plain service of sample fleets. */
+/** Name of the plain (non-model) service of sample fleets. */
 export const SAMPLE_SERVICE = 'register';
 
-/** Workspaces of sample fleets, a few of them large; the weight is their share of requests. */
+/** Workspaces of sample fleets, a few of them large. `share` is their share of requests. */
 export const SAMPLE_WORKSPACES = [
   { name: 'members', share: 0.45 },
   { name: 'counters', share: 0.25 },
@@ -37,12 +37,12 @@
   { name: 'pricing', share: 0.01 },
 ] as const;
 
-/** SHA-256 of a key in hexadecimal. */
+/** Returns the SHA-256 hash of a key in hexadecimal. */
 export function keySha256(key: string): string {
   return createHash('sha256').update(key).digest('hex');
 }
 
-/** The caller's key of a sample workspace. */
+/** Returns the API key of the caller of a sample workspace. */
 export function sampleKey(workspace: string): string {
   return `key-${workspace}`;
 }
@@ -127,7 +127,7 @@
   ];
 }
 
-/** A complete set of objects for a sample fleet. */
+/** Returns a complete set of configuration objects for a sample fleet. */
 export function sampleObjects(
   engines: readonly SampleServer[],
   services: readonly SampleServer[],
--- a/packages/load/src/seeded-random.ts
+++ b/packages/load/src/seeded-random.ts
@@ -1,10 +1,10 @@
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 
 const UINT32_RANGE = 2 ** 32;
-/** The first numbers of neighbouring seeds are alike. */
+/** The generator's first numbers are similar for adjacent seeds, so they are skipped. */
 const SKIPPED_NUMBERS = 64;
 
-/** Uniform numbers in [0, 1), the same for the same seed. */
+/** Returns a generator of uniform numbers in [0, 1); the same seed gives the same sequence. */
 export function seededRandom(seed: number): () => number {
   const generator = xoroshiro128plus(seed);
   for (let skipped = 0; skipped < SKIPPED_NUMBERS; skipped += 1) generator.next();
--- a/packages/load/src/stream-client.ts
+++ b/packages/load/src/stream-client.ts
@@ -4,7 +4,7 @@
 import { createParser } from 'eventsource-parser';
 import { z } from 'zod';
 
-/** A streamed completion call. */
+/** A completion call whose response is streamed. */
 export interface StreamCall {
   readonly url: string;
   readonly key: string;
@@ -16,13 +16,13 @@
   readonly signal?: AbortSignal;
 }
 
-/** How a streamed call ended, as its caller saw it. `lost`: no final word was received. */
+/** Result of a streamed call as its caller saw it. `lost`: neither an end nor an error arrived. */
 export interface StreamOutcome {
   readonly code: ResultName | 'lost';
   readonly requestId: string;
   readonly text: string;
   readonly tokens: number;
-  /** Index of the last token received; -1 before the first. */
+  /** Index of the last token received; -1 if there was none. */
   readonly lastIndex: number;
   readonly firstTokenMs: number | undefined;
   readonly totalMs: number;
@@ -30,7 +30,7 @@
 }
 
 const MAX_SOCKETS = 4096;
-/** Shorter than the gateway keeps an idle connection. */
+/** Shorter than the time for which the gateway keeps an idle connection open. */
 const IDLE_TIMEOUT_MS = 30_000;
 const agent = new Agent({ keepAlive: true, maxSockets: MAX_SOCKETS, timeout: IDLE_TIMEOUT_MS });
 
@@ -90,7 +90,10 @@
   };
 }
 
-/** Makes a streamed call and reads it to its end; never rejects. */
+/**
+ * Makes a streamed call and reads the response to its end; never rejects. Times are measured from
+ * `startedAt`, in milliseconds of `performance.now`.
+ */
 export function callStream(
   call: StreamCall,
   startedAt = performance.now(),
--- a/packages/load/src/summarize.ts
+++ b/packages/load/src/summarize.ts
@@ -12,15 +12,15 @@
   readonly max: number;
 }
 
-/** A run's figures. */
+/** Summary of a load run. */
 export interface LoadSummary {
   readonly requests: number;
   readonly short: Percentiles;
   readonly longestTenth: Percentiles;
-  /** Time to first token by prompt length; the key is the least length of the group. */
+  /** Time to first token by prompt length; the key is the minimum length of the group. */
   readonly byLength: Readonly<Record<string, Percentiles>>;
   readonly codes: Readonly<Record<string, number>>;
-  /** Requests that ended later than their limit and a grace. */
+  /** Requests that took longer than their time limit plus a grace period. */
   readonly late: number;
 }
 
@@ -42,7 +42,7 @@
   return histogram;
 }
 
-/** Percentiles of the time to first token. */
+/** Computes percentiles of the time to first token, over the samples that received one. */
 export function firstTokenPercentiles(samples: readonly LoadSample[]): Percentiles {
   const histogram = buildHistogram(samples);
   const at = (percentile: number) =>
@@ -56,7 +56,7 @@
   };
 }
 
-/** Figures of a run. */
+/** Summarizes a load run. */
 export function summarize(samples: readonly LoadSample[], timeLimitMs: number): LoadSummary {
   const longestFirst = [...samples].sort((a, b) => b.promptTokens - a.promptTokens);
   const groups = LENGTH_GROUPS.map((from, index) => {
--- a/packages/load/src/workload.ts
+++ b/packages/load/src/workload.ts
@@ -3,7 +3,7 @@
 import { seededRandom } from './seeded-random.js';
 import { SAMPLE_WORKSPACES } from './sample-objects.js';
 
-/** One request of a workload, at its time of arrival. */
+/** A request of a workload and its time of arrival. */
 export interface Arrival {
   readonly index: number;
   /** From the start of the run, in milliseconds. */
@@ -11,22 +11,22 @@
   readonly workspace: string;
   readonly promptTokens: number;
   readonly maxTokens: number;
-  /** The document that it shares its first tokens with. */
+  /** Number of the document that its prompt starts with; undefined if the prompt is unique. */
   readonly document: number | undefined;
 }
 
-/** What a workload looks like. */
+/** Settings of a generated workload. */
 export interface WorkloadOptions {
   readonly seed: number;
   readonly requestsPerSecond: number;
   readonly durationMs: number;
-  /** Short questions come this many times more often during a burst; 1 for none. */
+  /** Factor by which the arrival rate increases during a burst; 1 for no burst. */
   readonly burstFactor: number;
-  /** Share of prompts over 100,000 tokens. */
+  /** Share of prompts over 100,000 tokens outside a burst; half of it during a burst. */
   readonly hugeShare: number;
 }
 
-/** Prompts below this are short questions. */
+/** Prompts with fewer tokens than this count as short questions. */
 export const SHORT_PROMPT_TOKENS = 8192;
 
 const MIDDLE_SHARE = 0.18;
@@ -64,7 +64,7 @@
   return logUniform(SHORT_RANGE, uniform);
 }
 
-/** The arrivals of a workload: a Poisson process, the same for the same seed. */
+/** Generates the arrivals of a workload as a Poisson process; the same seed gives the same ones. */
 export function makeWorkload(options: WorkloadOptions): readonly Arrival[] {
   const uniform = seededRandom(options.seed);
   const arrivals: Arrival[] = [];
@@ -91,7 +91,7 @@
   return arrivals;
 }
 
-/** The prompt of an arrival: unique, but for the document that it may start with. */
+/** Builds the prompt of an arrival. It is unique except for the document that it may start with. */
 export function makeArrivalPrompt(arrival: Arrival, seed: number): string {
   const { document, index, promptTokens } = arrival;
   const unique = `request ${String(seed)}-${String(index)} `;
--- a/packages/mocks/src/engines.ts
+++ b/packages/mocks/src/engines.ts
@@ -1,4 +1,4 @@
-/** Figures of a model engine, those of the engines of the first two users. */
+/** Figures of a model engine: those of the engines of the first two users. */
 export const ENGINE_FIGURES = {
   slots: 11,
   memoryTokens: 450_000,
@@ -12,10 +12,10 @@
   usualAnswerTokens: 1540,
 } as const;
 
-/** The service that `engineServer` makes servers of. */
+/** Service of the servers that `engineServer` returns. */
 export const ENGINE_SERVICE = 'engines';
 
-/** A configuration whose only service has engines of `ENGINE_FIGURES`, and no routes. */
+/** Returns a configuration without routes whose only service has engines with `ENGINE_FIGURES`. */
 export function engineConfiguration() {
   return {
     version: 1,
@@ -26,7 +26,7 @@
   } as const;
 }
 
-/** A backend server with an engine of `ENGINE_FIGURES`, as the store lists it. */
+/** Returns a backend server, as the store lists it, with an engine of `ENGINE_FIGURES`. */
 export function engineServer(id: string) {
   return {
     id,
--- a/packages/mocks/src/fake-mesh.ts
+++ b/packages/mocks/src/fake-mesh.ts
@@ -3,14 +3,14 @@
 
 type Handler = (from: Member, body: unknown) => void;
 
-/** A message on its way between two fake hosts. */
+/** A message in transit between two fake hosts. */
 export interface InFlightMessage {
   readonly from: string;
   readonly to: string;
   deliver(): void;
 }
 
-/** Hosts in one process whose messages a test delivers, drops or repeats. */
+/** Hosts in one process. A test delivers, drops or repeats their messages. */
 export class FakeNetwork {
   readonly hosts = new Map<string, FakeMesh>();
   readonly inFlight: InFlightMessage[] = [];
@@ -28,13 +28,13 @@
     return mesh;
   }
 
-  /** Delivers everything, and what that causes. */
+  /** Delivers all messages in transit, including those sent as a result. */
   deliverAll(): void {
     for (let next = this.inFlight.shift(); next; next = this.inFlight.shift()) next.deliver();
   }
 }
 
-/** One fake host's end of the network. */
+/** The peer mesh of one fake host. */
 export class FakeMesh implements PeerMessages {
   readonly #handlers = new Map<string, Handler>();
   readonly settings: { readonly self: Member };
--- a/packages/mocks/src/fake-objects.ts
+++ b/packages/mocks/src/fake-objects.ts
@@ -1,7 +1,7 @@
 import type { ObjectStore, StoreFault } from '@poppypond/state';
 import { Result } from 'true-myth';
 
-/** An object store in memory that can be down. */
+/** An in-memory object store that can be made unavailable. */
 export class FakeObjectStore implements ObjectStore {
   readonly objects = new Map<string, string>();
   isDown = false;
--- a/packages/mocks/src/manual-clock.ts
+++ b/packages/mocks/src/manual-clock.ts
@@ -9,12 +9,12 @@
 
 const FLUSH_TURNS = 20;
 
-/** Lets promises that are already settled run their continuations. */
+/** Runs the continuations of promises that are already settled. */
 export async function flushPromises(): Promise<void> {
   for (let turn = 0; turn < FLUSH_TURNS; turn += 1) await Promise.resolve();
 }
 
-/** A clock that moves only when a test moves it. */
+/** A clock that advances only when a test advances it. */
 export class ManualClock implements Clock {
   #nowMs: Milliseconds = 1000;
   #order = 0;
@@ -54,7 +54,7 @@
     return next;
   }
 
-  /** Moves on, firing timers in order and letting promises settle after each. */
+  /** Advances the time, firing due timers in order and letting promises settle after each. */
   async advance(byMs: Milliseconds): Promise<void> {
     const untilMs = this.#nowMs + byMs;
     await flushPromises();
@@ -67,7 +67,7 @@
     this.#nowMs = untilMs;
   }
 
-  /** Moves on without firing anything, like a process that was stopped and goes on. */
+  /** Advances the time without firing timers, as for a process that was suspended and resumes. */
   skip(byMs: Milliseconds): void {
     this.#nowMs += byMs;
   }
--- a/packages/mocks/src/memory-table.ts
+++ b/packages/mocks/src/memory-table.ts
@@ -7,13 +7,17 @@
 } from '@poppypond/state';
 import { Result } from 'true-myth';
 
-/** What happens to the next call. `lost`: it takes effect and its answer is lost. */
+/**
+ * Outcome of a call. `down`: it fails without effect. `lost`: it takes effect and its response is
+ * lost. `hang-then-lost`: its response is lost at once and it takes effect later. A read fails with
+ * every outcome except `ok`.
+ */
 export type CallOutcome = 'ok' | 'down' | 'lost' | 'hang-then-lost';
 
-/** Decides the fate of each call; `isWrite` tells reads from writes. */
+/** Decides the outcome of each call; `isWrite` distinguishes writes from reads. */
 export type PickOutcome = (isWrite: boolean) => CallOutcome;
 
-/** Waits before and after a call takes effect, so that a test can order calls. */
+/** Awaited before and after a call takes effect, so that a test can order concurrent calls. */
 export type YieldPoint = (label: string) => Promise<void>;
 
 const UNAVAILABLE: StoreFault = { reason: 'unavailable', detail: 'down' };
@@ -38,14 +42,14 @@
   }
 }
 
-/** Rows of a store that forgets to check: a planted fault that every checker must find. */
+/** Rows without version checks: a deliberate fault that every checker has to find. */
 export class UncheckedRows extends MemoryRows {
   override apply(transaction: TableTransaction): TransactionResult {
     return super.apply({ ...transaction, checks: [] });
   }
 }
 
-/** One client's view of a table in memory, with faults. */
+/** One client's view of an in-memory table, with faults. */
 export class MemoryTable implements TableStore {
   constructor(
     readonly shared: MemoryRows,
--- a/packages/mocks/src/scheduled-clock.ts
+++ b/packages/mocks/src/scheduled-clock.ts
@@ -1,11 +1,11 @@
 import type { CancelTimer, Clock, Milliseconds } from '@poppypond/core';
 
-/** Orders callbacks, e.g. a fast-check scheduler. */
+/** Decides the order of tasks, e.g. a fast-check scheduler. */
 export interface TaskScheduler {
   schedule<Value>(task: Promise<Value>, label?: string): Promise<Value>;
 }
 
-/** A clock whose timers fire in whatever order the orderer picks; time stands still. */
+/** A clock whose time never advances. Its timers fire in the order that the scheduler picks. */
 export class ScheduledClock implements Clock {
   constructor(
     readonly scheduler: TaskScheduler,
--- a/packages/standin/src/engine/batch.ts
+++ b/packages/standin/src/engine/batch.ts
@@ -93,7 +93,7 @@
     return true;
   }
 
-  /** Fault switch: finishes no step within `durationMs`. */
+  /** Fault switch: steps that are planned from now on end after `durationMs` at the earliest. */
   pause(durationMs: Milliseconds): void {
     this.#pausedUntilMs = this.clock.monotonicMs() + durationMs;
   }
--- a/packages/standin/src/engine/engine.ts
+++ b/packages/standin/src/engine/engine.ts
@@ -238,7 +238,7 @@
     return this.batch.cancel(`${requestId}/${String(attempt)}`);
   }
 
-  /** Releases a reservation and starts queued calls in the freed memory. Returns the freed tokens. */
+  /** Releases a reservation and starts queued calls that now fit. Returns the freed tokens. */
   release(id: string): number {
     const tokens = this.memory.release(id);
     if (tokens > 0) this.#startWaiting();
--- a/packages/standin/src/engine/faults.ts
+++ b/packages/standin/src/engine/faults.ts
@@ -3,7 +3,7 @@
 const faultsSchema = z.strictObject({
   /** Terminates the process immediately. */
   die: z.boolean(),
-  /** Runs no step for this time. */
+  /** Pauses stepping for this time. */
   pauseMs: z.number().nonnegative(),
   /** Multiplies the duration of each step. */
   slowdown: z.number().positive(),
@@ -14,14 +14,14 @@
   loseAnswers: z.int().nonnegative(),
   /** Refuses this many of the next calls with status 503. */
   refuseCalls: z.int().nonnegative(),
-  /** Asks for a backoff of this length (Retry-After) in each response with status 503; 0 for none. */
+  /** Retry-After of each response with status 503, which asks for a backoff; 0 for none. */
   restSeconds: z.number().nonnegative(),
   /** Drops every n-th cache event; 0 for none. */
   dropCacheEventEvery: z.int().nonnegative(),
   cacheEventDelayMs: z.number().nonnegative(),
   /** Reports that it is leaving. */
   leaving: z.boolean(),
-  /** In this many of the next streams, sends each frame twice and a stale frame of an older attempt. */
+  /** Repeats each frame of this many of the next streams and adds one of an older attempt. */
   repeatFrames: z.int().nonnegative(),
 });
 
--- a/packages/standin/src/engine/feeds.ts
+++ b/packages/standin/src/engine/feeds.ts
@@ -47,7 +47,7 @@
     };
   }
 
-  /** Sends reports to a host, about every `periodMs` but not faster than the engine's report period. */
+  /** Sends a host every n-th report: about one each `periodMs`, at most one each report period. */
   subscribeLoad(response: ServerResponse, owner: string, periodMs: Milliseconds): void {
     this.#openStream(response);
     const every = Math.max(1, Math.round(periodMs / this.engine.settings.reportPeriodMs));
--- a/packages/standin/src/engine/kv-memory.ts
+++ b/packages/standin/src/engine/kv-memory.ts
@@ -58,9 +58,7 @@
     return this.#reservations.get(id);
   }
 
-  /**
-   * Reserves the memory, or returns undefined if it is not free. `claim.deadlineMs` counts from now.
-   */
+  /** Returns undefined if not all of the memory is free. `claim.deadlineMs` counts from now. */
   reserve(
     claim: Pick<Reservation, 'owner' | 'requestId' | 'attempt' | 'tokens' | 'deadlineMs'>,
     ttlMs: Milliseconds,
--- a/packages/standin/src/platform/faults.ts
+++ b/packages/standin/src/platform/faults.ts
@@ -7,7 +7,7 @@
   /** Accepts calls and never responds. */
   hang: z.boolean().optional(),
   slowMs: z.number().nonnegative().optional(),
-  /** Applies this many of the next writes whose key starts with `lostPrefix`, but loses the response. */
+  /** Applies this many of the next writes whose key starts with `lostPrefix` without a response. */
   loseWriteAnswers: z.int().nonnegative().optional(),
   lostPrefix: z.string().optional(),
   /** Delays the effect of writes whose response is lost. */
--- a/packages/standin/src/platform/rate.ts
+++ b/packages/standin/src/platform/rate.ts
@@ -2,7 +2,7 @@
 
 const MS_PER_SECOND = 1000;
 
-/** Token bucket that allows `perSecond` calls, with a burst of one second's calls, and counts them. */
+/** Counts calls and allows `perSecond` of them: a token bucket that holds one second's calls. */
 export class RateLimiter {
   total = 0;
   refused = 0;
--- a/packages/standin/src/platform/table.ts
+++ b/packages/standin/src/platform/table.ts
@@ -33,7 +33,7 @@
     return this.#rows.get(key);
   }
 
-  /** Returns up to `limit` rows, in key order, whose key starts with `prefix` and sorts after `after`. */
+  /** Up to `limit` rows in key order whose key starts with `prefix` and sorts after `after`. */
   scan(prefix: string, after: string, limit: number): readonly Row[] {
     this.#sorted ??= [...this.#rows.keys()].sort();
     const rows: Row[] = [];
--- a/packages/standin/src/service/app.ts
+++ b/packages/standin/src/service/app.ts
@@ -13,7 +13,7 @@
   loseAnswers: z.int().nonnegative().optional(),
   /** Refuses this many of the next calls with status 503 without running them. */
   refuseCalls: z.int().nonnegative().optional(),
-  /** Asks for a backoff of this length (Retry-After) with each call that it refuses; 0 for none. */
+  /** Retry-After of each call that it refuses, which asks for a backoff; 0 for none. */
   restSeconds: z.number().nonnegative().optional(),
   slowMs: z.number().nonnegative().optional(),
   leaving: z.boolean().optional(),
