--- a/packages/demo/src/commands.ts
+++ b/packages/demo/src/commands.ts
@@ -2,7 +2,7 @@
 import { defineCommand, portSetting, booleanSetting } from '@poppypond/settings';
 import { checkDemo } from './check.js';
 import { startDemo } from './demo.js';
-import { printUsageAndFigures } from './figures.js';
+import { printUsageAndStatus } from './figures.js';
 
 /** Runs the whole system in one process on loopback. */
 export const demoCommand = defineCommand({
@@ -24,7 +24,7 @@
       setImmediate(() => process.exit(isCorrect ? 0 : 1));
       return isCorrect ? 0 : 1;
     }
-    printUsageAndFigures(demo, clock);
+    printUsageAndStatus(demo, clock);
     return new Promise((resolve) => {
       process.once('SIGINT', () => {
         void demo.stop().then(() => {
--- a/packages/demo/src/demo.ts
+++ b/packages/demo/src/demo.ts
@@ -23,7 +23,7 @@
 const READY_POLL_MS = 20;
 const MAX_READY_CHECKS = 500;
 
-/** An engine prefills 200,000 tokens per second here, so that a `review` takes a few seconds. */
+/** An engine prefills 200,000 tokens per second here, so that a `review` prompt takes seconds. */
 const ENGINE_SETTINGS = {
   kvTokens: 400_000,
   stepBaseMs: 4,
--- a/packages/demo/src/figures.ts
+++ b/packages/demo/src/figures.ts
@@ -26,7 +26,7 @@
   return parsed.success ? parsed.data : undefined;
 }
 
-async function printFigures(demo: RunningDemo): Promise<void> {
+async function printStatus(demo: RunningDemo): Promise<void> {
   const status = await read(`${demo.gatewayUrl}/status`, statusSchema);
   const loads = await Promise.all(demo.engineUrls.map((url) => read(`${url}/load`, loadSchema)));
   if (!status) return;
@@ -39,7 +39,7 @@
 }
 
 /** Prints how to use the demo, then its status every two seconds. */
-export function printUsageAndFigures(demo: RunningDemo, clock: Clock): void {
+export function printUsageAndStatus(demo: RunningDemo, clock: Clock): void {
   const body = JSON.stringify({
     model: SAMPLE_MODEL,
     prompt: 'What is my balance?',
@@ -54,6 +54,6 @@
       ` npx poppypond explain REQUEST   # x-poppypond-request of the answer\n\n`,
   );
   clock.every(PERIOD_MS, () => {
-    void printFigures(demo);
+    void printStatus(demo);
   });
 }
--- a/packages/load/src/run-load.ts
+++ b/packages/load/src/run-load.ts
@@ -19,7 +19,7 @@
   readonly retryAfterMs: number | undefined;
 }
 
-/** Where and with which seed and time limit a workload is sent. */
+/** Gateways that a workload is sent to, with its seed and time limit. */
 export interface LoadTarget {
   readonly urls: readonly string[];
   readonly seed: number;
--- a/packages/standin/src/engine/app.ts
+++ b/packages/standin/src/engine/app.ts
@@ -79,16 +79,16 @@
     .on('GET', '/reservations', ({ response }) => {
       const now = engine.clock.monotonicMs();
       sendJson(response, 200, {
-        reservations: engine.memory.reservations.map((r) => ({
-          id: r.id,
-          owner: r.owner,
-          requestId: r.requestId,
-          attempt: r.attempt,
-          tokens: r.tokens,
-          renewals: r.renewals,
-          ttlMs: r.expiresAtMs - now,
-          timeRemainingMs: r.deadlineMs - now,
-          isRunning: engine.running.has(r.id),
+        reservations: engine.memory.reservations.map((reservation) => ({
+          id: reservation.id,
+          owner: reservation.owner,
+          requestId: reservation.requestId,
+          attempt: reservation.attempt,
+          tokens: reservation.tokens,
+          renewals: reservation.renewals,
+          ttlMs: reservation.expiresAtMs - now,
+          timeRemainingMs: reservation.deadlineMs - now,
+          isRunning: engine.running.has(reservation.id),
         })),
       });
     })
--- a/packages/standin/src/engine/generate-call.ts
+++ b/packages/standin/src/engine/generate-call.ts
@@ -61,23 +61,23 @@
   const parsed = bodySchema.safeParse(parseJson(body));
   if (!parsed.success) return `field ${String(parsed.error.issues[0]?.path.join('.'))}`;
   const prompt = parsed.data.prompt ?? chatPrompt(parsed.data.messages ?? []);
-  const h = parsedHeaders.data;
+  const headerValues = parsedHeaders.data;
   return {
-    requestId: h['x-request'],
-    attempt: h['x-attempt'],
-    owner: h['x-owner'],
-    dispatch: h['x-dispatch'],
-    priority: h['x-priority'],
-    timeRemainingMs: h['x-time-remaining-ms'],
-    resumeOffset: h['x-resume-offset'],
-    canWait: h['x-wait'] === '1',
-    reservationId: h['x-reservation'],
-    prefillOnly: h['x-prefill-only'] === '1',
-    imports: h['x-imports']?.split(',') ?? [],
+    requestId: headerValues['x-request'],
+    attempt: headerValues['x-attempt'],
+    owner: headerValues['x-owner'],
+    dispatch: headerValues['x-dispatch'],
+    priority: headerValues['x-priority'],
+    timeRemainingMs: headerValues['x-time-remaining-ms'],
+    resumeOffset: headerValues['x-resume-offset'],
+    canWait: headerValues['x-wait'] === '1',
+    reservationId: headerValues['x-reservation'],
+    prefillOnly: headerValues['x-prefill-only'] === '1',
+    imports: headerValues['x-imports']?.split(',') ?? [],
     model: parsed.data.model,
     prompt,
     promptTokens: estimateTokens(prompt),
-    maxTokens: h['x-max-tokens'] ?? parsed.data.max_tokens ?? DEFAULT_OUTPUT_TOKENS,
+    maxTokens: headerValues['x-max-tokens'] ?? parsed.data.max_tokens ?? DEFAULT_OUTPUT_TOKENS,
   };
 }
 
--- a/packages/standin/src/platform/app.ts
+++ b/packages/standin/src/platform/app.ts
@@ -76,7 +76,8 @@
       return;
     }
     const failed = this.table.transact(transaction);
-    if (failed.length > 0) sendJson(response, 409, { failed: failed.map((f) => ({ ...f })) });
+    if (failed.length > 0)
+      sendJson(response, 409, { failed: failed.map((check) => ({ ...check })) });
     else sendJson(response, 200, { version: this.table.version });
   }
 
