--- a/packages/demo/src/demo.ts
+++ b/packages/demo/src/demo.ts
@@ -104,9 +104,9 @@
 ): Promise<RunningDemo> {
   const { platform, service, engines } = await startServers(clock);
   const log = createLog({ program: 'demo' }, 'warn');
-  const common = { host: 'demo-1', platformUrl: platform.url, listenAddress: ADDRESS };
+  const commonSettings = { host: 'demo-1', platformUrl: platform.url, listenAddress: ADDRESS };
   const gatewaySettings = z.object(gatewayShape).parse({
-    ...common,
+    ...commonSettings,
     zone: ZONES[0],
     peerPort: '0',
     listenPort: String(port),
@@ -119,7 +119,7 @@
   const gateway = await startGateway(gatewaySettings, clock, log, silentMetrics);
   const admin = await startAdmin(
     z.object(adminShape).parse({
-      ...common,
+      ...commonSettings,
       listenPort: String(adminPort),
       gateways: gateway.url,
       bootstrapKeySha256: keySha256(SAMPLE_OPERATOR_KEY),
@@ -131,7 +131,7 @@
   await applySampleObjects(admin.url, engineUrls, service.url);
   const controllerSettings = z
     .object(controllerShape)
-    .parse({ ...common, listenPort: '0', gateways: gateway.url });
+    .parse({ ...commonSettings, listenPort: '0', gateways: gateway.url });
   const controller = await startController(controllerSettings, clock, log, silentMetrics);
   await waitReady(clock, gateway.url);
   return {
--- a/packages/load/src/run-load.ts
+++ b/packages/load/src/run-load.ts
@@ -26,7 +26,11 @@
   readonly timeLimitMs: number;
 }
 
-async function send(arrival: Arrival, target: LoadTarget, startedAt: number): Promise<LoadSample> {
+async function send(
+  arrival: Arrival,
+  target: LoadTarget,
+  startedAtMs: number,
+): Promise<LoadSample> {
   const { index, atMs, promptTokens, workspace } = arrival;
   const outcome = await callStream(
     {
@@ -37,7 +41,7 @@
       maxTokens: arrival.maxTokens,
       timeLimitMs: target.timeLimitMs,
     },
-    startedAt + atMs,
+    startedAtMs + atMs,
   );
   const { code, requestId, firstTokenMs, totalMs, tokens, retryAfterMs } = outcome;
   const result = { code, requestId, firstTokenMs, totalMs, tokens, retryAfterMs };
@@ -49,12 +53,12 @@
   arrivals: readonly Arrival[],
   target: LoadTarget,
 ): Promise<readonly LoadSample[]> {
-  const startedAt = performance.now();
+  const startedAtMs = performance.now();
   const running = arrivals.map(
     (arrival) =>
       new Promise<LoadSample>((resolve) => {
         setTimeout(() => {
-          void send(arrival, target, startedAt).then(resolve);
+          void send(arrival, target, startedAtMs).then(resolve);
         }, arrival.atMs);
       }),
   );
--- a/packages/load/src/stream-client.ts
+++ b/packages/load/src/stream-client.ts
@@ -44,7 +44,7 @@
   text: string;
   tokens: number;
   lastIndex: number;
-  firstTokenAt: number | undefined;
+  firstTokenAtMs: number | undefined;
   isDone: boolean;
   code: ResultName | undefined;
   retryAfterMs: number | undefined;
@@ -69,41 +69,41 @@
   const chunk = chunkSchema.safeParse(value);
   const text = chunk.success ? (chunk.data.choices[0]?.text ?? '') : '';
   if (text === '') return;
-  seen.firstTokenAt ??= performance.now();
+  seen.firstTokenAtMs ??= performance.now();
   seen.text += text;
   seen.tokens += 1;
   const index = Number(id?.split(':')[1] ?? Number.NaN);
   if (Number.isInteger(index)) seen.lastIndex = index;
 }
 
-function toOutcome(seen: StreamProgress, startedAt: number): StreamOutcome {
-  const { requestId, text, tokens, lastIndex, firstTokenAt, retryAfterMs } = seen;
+function toOutcome(seen: StreamProgress, startedAtMs: number): StreamOutcome {
+  const { requestId, text, tokens, lastIndex, firstTokenAtMs, retryAfterMs } = seen;
   return {
     code: seen.isDone ? 'ok' : (seen.code ?? 'lost'),
     requestId,
     text,
     tokens,
     lastIndex,
-    firstTokenMs: firstTokenAt === undefined ? undefined : firstTokenAt - startedAt,
-    totalMs: performance.now() - startedAt,
+    firstTokenMs: firstTokenAtMs === undefined ? undefined : firstTokenAtMs - startedAtMs,
+    totalMs: performance.now() - startedAtMs,
     retryAfterMs,
   };
 }
 
 /**
  * Makes a streamed call and reads the response to its end; never rejects. Times are measured from
- * `startedAt`, in milliseconds of `performance.now`.
+ * `startedAtMs`, in milliseconds of `performance.now`.
  */
 export function callStream(
   call: StreamCall,
-  startedAt = performance.now(),
+  startedAtMs = performance.now(),
 ): Promise<StreamOutcome> {
   const seen: StreamProgress = {
     requestId: '',
     text: '',
     tokens: 0,
     lastIndex: -1,
-    firstTokenAt: undefined,
+    firstTokenAtMs: undefined,
     isDone: false,
     code: undefined,
     retryAfterMs: undefined,
@@ -112,7 +112,7 @@
   const body = JSON.stringify({ model, max_tokens: maxTokens, stream: true, prompt });
   return new Promise((resolve) => {
     const end = () => {
-      resolve(toOutcome(seen, startedAt));
+      resolve(toOutcome(seen, startedAtMs));
     };
     const outgoing = startHttp(
       `${call.url}/v1/completions`,
--- a/packages/load/src/workload.ts
+++ b/packages/load/src/workload.ts
@@ -49,10 +49,10 @@
 }
 
 function chooseWorkspace(uniform: Uniform): string {
-  let rest = uniform();
+  let remaining = uniform();
   for (const { name, share } of SAMPLE_WORKSPACES) {
-    rest -= share;
-    if (rest <= 0) return name;
+    remaining -= share;
+    if (remaining <= 0) return name;
   }
   return SAMPLE_WORKSPACES[0].name;
 }
@@ -98,6 +98,6 @@
   if (document === undefined) return makePrompt(unique, promptTokens);
   const shared = Math.floor(promptTokens * SHARED_PROMPT_SHARE);
   const prefix = makePrompt(`document ${String(seed)}-${String(document)} `, shared);
-  const rest = promptTokens - Math.ceil(prefix.length / CHARACTERS_PER_TOKEN);
-  return prefix + makePrompt(unique, rest);
+  const remaining = promptTokens - Math.ceil(prefix.length / CHARACTERS_PER_TOKEN);
+  return prefix + makePrompt(unique, remaining);
 }
--- a/packages/standin/src/engine/app.ts
+++ b/packages/standin/src/engine/app.ts
@@ -127,7 +127,7 @@
   router
     .on('GET', '/load', ({ response, query }) => {
       response.setHeader('content-type', 'application/json');
-      response.end(JSON.stringify(engine.feeds.currentLoad(query.get('owner') ?? '')));
+      response.end(JSON.stringify(engine.feeds.getCurrentLoad(query.get('owner') ?? '')));
     })
     .on('GET', '/load/stream', ({ response, query }) => {
       const periodMs = Number(query.get('period') ?? 0);
--- a/packages/standin/src/engine/feeds.ts
+++ b/packages/standin/src/engine/feeds.ts
@@ -30,7 +30,7 @@
   }
 
   /** The current load. `seen` is the highest dispatch number of `owner` that it includes. */
-  currentLoad(owner: string): Readonly<Record<string, unknown>> {
+  getCurrentLoad(owner: string): Readonly<Record<string, unknown>> {
     const { engine } = this;
     return {
       sequence: this.#reportSequence,
@@ -53,7 +53,7 @@
     const every = Math.max(1, Math.round(periodMs / this.engine.settings.reportPeriodMs));
     const subscriber = { response, owner, every };
     this.#loadSubscribers.add(subscriber);
-    response.write(`${JSON.stringify(this.currentLoad(owner))}\n`);
+    response.write(`${JSON.stringify(this.getCurrentLoad(owner))}\n`);
     response.once('close', () => this.#loadSubscribers.delete(subscriber));
   }
 
@@ -88,7 +88,7 @@
     this.#reportSequence += 1;
     for (const { response, owner, every } of this.#loadSubscribers) {
       if (this.#reportSequence % every !== 0) continue;
-      const line = `${JSON.stringify(this.currentLoad(owner))}\n`;
+      const line = `${JSON.stringify(this.getCurrentLoad(owner))}\n`;
       this.clock.after(this.engine.settings.reportLagMs, () => {
         response.write(line);
       });
--- a/packages/standin/src/platform/rate.ts
+++ b/packages/standin/src/platform/rate.ts
@@ -7,21 +7,21 @@
   total = 0;
   refused = 0;
   #tokens: number;
-  #lastMs: number;
+  #lastRefillAtMs: number;
 
   constructor(
     readonly perSecond: number,
     readonly clock: Clock,
   ) {
     this.#tokens = perSecond;
-    this.#lastMs = clock.monotonicMs();
+    this.#lastRefillAtMs = clock.monotonicMs();
   }
 
   allow(): boolean {
     const now = this.clock.monotonicMs();
-    const refilled = ((now - this.#lastMs) * this.perSecond) / MS_PER_SECOND;
+    const refilled = ((now - this.#lastRefillAtMs) * this.perSecond) / MS_PER_SECOND;
     this.#tokens = Math.min(this.perSecond, this.#tokens + refilled);
-    this.#lastMs = now;
+    this.#lastRefillAtMs = now;
     if (this.#tokens < 1) {
       this.refused += 1;
       return false;
--- a/packages/standin/src/platform/table.ts
+++ b/packages/standin/src/platform/table.ts
@@ -24,7 +24,7 @@
 /** A transactional table of versioned rows, ordered by key. */
 export class Table {
   readonly #rows = new Map<string, Row>();
-  #sorted: readonly string[] | undefined;
+  #sortedKeys: readonly string[] | undefined;
   #version = 0;
 
   constructor(readonly clock: Clock) {}
@@ -35,9 +35,9 @@
 
   /** Up to `limit` rows in key order whose key starts with `prefix` and sorts after `after`. */
   scan(prefix: string, after: string, limit: number): readonly Row[] {
-    this.#sorted ??= [...this.#rows.keys()].sort();
+    this.#sortedKeys ??= [...this.#rows.keys()].sort();
     const rows: Row[] = [];
-    for (const key of this.#sorted) {
+    for (const key of this.#sortedKeys) {
       if (rows.length >= limit) break;
       if (!key.startsWith(prefix) || key <= after) continue;
       const row = this.#rows.get(key);
@@ -60,11 +60,11 @@
     if (failed.length > 0) return failed;
     this.#version += 1;
     for (const { key, value } of transaction.puts) {
-      if (!this.#rows.has(key)) this.#sorted = undefined;
+      if (!this.#rows.has(key)) this.#sortedKeys = undefined;
       this.#rows.set(key, { key, version: this.#version, value });
     }
     for (const key of transaction.deletes) {
-      if (this.#rows.delete(key)) this.#sorted = undefined;
+      if (this.#rows.delete(key)) this.#sortedKeys = undefined;
     }
     return [];
   }
