--- a/packages/demo/src/demo.ts
+++ b/packages/demo/src/demo.ts
@@ -3,12 +3,12 @@
 import type { Clock } from '@poppypond/core';
 import { gatewayShape, startGateway } from '@poppypond/gateway';
 import { keySha256, SAMPLE_OPERATOR_KEY, sampleObjects } from '@poppypond/load';
-import { startEngine, startPlatform, startService } from '@poppypond/standin';
+import { startFakeEngine, startFakePlatform, startFakeService } from '@poppypond/standin';
 import { createLog, silentMetrics } from '@poppypond/telemetry';
 import { callHttp } from '@poppypond/web';
 import { z } from 'zod';
 
-/** A demo that runs. */
+/** A running demo. */
 export interface RunningDemo {
   readonly gatewayUrl: string;
   readonly adminUrl: string;
@@ -17,14 +17,14 @@
 }
 
 const ADDRESS = '127.0.0.1';
-const ENGINES = 6;
+const ENGINE_COUNT = 6;
 const ZONES = ['regina-a', 'saskatoon-b', 'brandon-c'];
 const APPLY_TIMEOUT_MS = 5000;
 const READY_POLL_MS = 20;
-const READY_TRIES = 500;
+const MAX_READY_CHECKS = 500;
 
-/** One engine prefills 200,000 tokens a second here, so that a review takes a few seconds. */
-const ENGINE = {
+/** An engine prefills 200,000 tokens per second here, so that a `review` prompt takes seconds. */
+const ENGINE_SETTINGS = {
   kvTokens: 400_000,
   stepBaseMs: 4,
   decodeMs: 0.05,
@@ -41,19 +41,19 @@
 
 async function startServers(clock: Clock) {
   const listenAt = { address: ADDRESS, port: 0 };
-  const { server: platform } = await startPlatform(
+  const { server: platform } = await startFakePlatform(
     { ...listenAt, writesPerSecond: 300, readsPerSecond: 2000, hostListLagMs: 3000, weightMs: 500 },
     clock,
   );
   const options = { ...listenAt, platformUrl: platform.url, onDie: () => undefined };
   const engines = await Promise.all(
-    Array.from({ length: ENGINES }, () => startEngine(ENGINE, clock, options)),
+    Array.from({ length: ENGINE_COUNT }, () => startFakeEngine(ENGINE_SETTINGS, clock, options)),
   );
-  const { server: service } = await startService(clock, ADDRESS, 0);
+  const { server: service } = await startFakeService(clock, ADDRESS, 0);
   return { platform, service, engines: engines.map(({ server }) => server) };
 }
 
-async function applySample(
+async function applySampleObjects(
   adminUrl: string,
   engineUrls: readonly string[],
   serviceUrl: string,
@@ -71,7 +71,8 @@
     body: JSON.stringify({ why: 'the demo', objects: sampleObjects(engines, services) }),
     timeoutMs: APPLY_TIMEOUT_MS,
   });
-  if (reply.isErr || reply.value.status !== 200) throw new Error('the sample was not applied');
+  if (reply.isErr || reply.value.status !== 200)
+    throw new Error('the sample objects were not applied');
 }
 
 const statusSchema = z.object({
@@ -80,22 +81,22 @@
 });
 
 async function waitReady(clock: Clock, gatewayUrl: string): Promise<void> {
-  for (let tries = 0; tries < READY_TRIES; tries += 1) {
+  for (let tries = 0; tries < MAX_READY_CHECKS; tries += 1) {
     const url = `${gatewayUrl}/status`;
     const reply = await callHttp({ method: 'GET', url, timeoutMs: APPLY_TIMEOUT_MS });
     const status = statusSchema.safeParse(reply.isOk ? JSON.parse(reply.value.body) : undefined);
     if (status.success && status.data.revision > 0) {
       const seen = status.data.engines.filter((engine) => engine.reportAgeMs < APPLY_TIMEOUT_MS);
-      if (seen.length === ENGINES) return;
+      if (seen.length === ENGINE_COUNT) return;
     }
     await new Promise<void>((resolve) => {
       clock.after(READY_POLL_MS, resolve);
     });
   }
-  throw new Error('the gateway did not become ready');
+  throw new Error('the gateway did not become ready in time');
 }
 
-/** Starts everything in this process. */
+/** Starts fake platform, engines and service, gateway, admin and controller in this process. */
 export async function startDemo(
   clock: Clock,
   port: number,
@@ -103,9 +104,9 @@
 ): Promise<RunningDemo> {
   const { platform, service, engines } = await startServers(clock);
   const log = createLog({ program: 'demo' }, 'warn');
-  const common = { host: 'demo-1', platformUrl: platform.url, listenAddress: ADDRESS };
+  const commonSettings = { host: 'demo-1', platformUrl: platform.url, listenAddress: ADDRESS };
   const gatewaySettings = z.object(gatewayShape).parse({
-    ...common,
+    ...commonSettings,
     zone: ZONES[0],
     peerPort: '0',
     listenPort: String(port),
@@ -118,7 +119,7 @@
   const gateway = await startGateway(gatewaySettings, clock, log, silentMetrics);
   const admin = await startAdmin(
     z.object(adminShape).parse({
-      ...common,
+      ...commonSettings,
       listenPort: String(adminPort),
       gateways: gateway.url,
       bootstrapKeySha256: keySha256(SAMPLE_OPERATOR_KEY),
@@ -127,10 +128,10 @@
     log,
   );
   const engineUrls = engines.map((engine) => engine.url);
-  await applySample(admin.url, engineUrls, service.url);
+  await applySampleObjects(admin.url, engineUrls, service.url);
   const controllerSettings = z
     .object(controllerShape)
-    .parse({ ...common, listenPort: '0', gateways: gateway.url });
+    .parse({ ...commonSettings, listenPort: '0', gateways: gateway.url });
   const controller = await startController(controllerSettings, clock, log, silentMetrics);
   await waitReady(clock, gateway.url);
   return {
--- a/packages/launch/src/program.ts
+++ b/packages/launch/src/program.ts
@@ -2,7 +2,7 @@
 import type { ChildProcess } from 'node:child_process';
 import { fileURLToPath } from 'node:url';
 
-/** The programs that can be started. */
+/** Programs that can be started. */
 export type ProgramName = 'gateway' | 'controller' | 'admin' | 'standin';
 
 /** Settings as flags, without the leading dashes. */
@@ -16,7 +16,7 @@
   return fileURLToPath(new URL(`../../${name}/dist/main.js`, import.meta.url));
 }
 
-function flagsOf(flags: Flags): readonly string[] {
+function formatFlags(flags: Flags): readonly string[] {
   return Object.entries(flags).flatMap(([name, value]) => {
     if (value === true) return [`--${name}`];
     if (value === false) return [`--no-${name}`];
@@ -24,17 +24,17 @@
   });
 }
 
-/** A program that runs as a process of its own. */
+/** A program that runs as its own process. */
 export class RunningProgram {
   log = '';
-  /** Requests that the program said it ran; known even after it was killed. */
+  /** Requests that the program printed as run; available even after it was killed. */
   readonly ran = new Set<string>();
   #exit: Promise<number | null>;
 
   constructor(
     readonly name: ProgramName,
     readonly child: ChildProcess,
-    /** `KEY=VALUE` pairs of the line that the program prints when it listens. */
+    /** `KEY=VALUE` pairs of the line that the program prints when it starts listening. */
     readonly listening: ReadonlyMap<string, string>,
   ) {
     this.#exit = new Promise((resolve) => {
@@ -42,14 +42,14 @@
         resolve(code);
       });
     });
-    const keep = (chunk: Buffer) => {
+    const appendLog = (chunk: Buffer) => {
       this.log = (this.log + chunk.toString('utf8')).slice(-MAX_LOG_CHARACTERS);
     };
-    child.stderr?.on('data', keep);
-    let rest = '';
+    child.stderr?.on('data', appendLog);
+    let partialLine = '';
     child.stdout?.on('data', (chunk: Buffer) => {
-      const lines = (rest + chunk.toString('utf8')).split('\n');
-      rest = lines.pop() ?? '';
+      const lines = (partialLine + chunk.toString('utf8')).split('\n');
+      partialLine = lines.pop() ?? '';
       for (const line of lines) {
         if (line.startsWith(RAN_PREFIX)) this.ran.add(line.slice(RAN_PREFIX.length));
       }
@@ -68,7 +68,7 @@
     if (!this.hasExited) this.child.kill(signal);
   }
 
-  /** Resolves with the exit code when the process has ended. */
+  /** Resolves with the exit code when the process has exited; null if a signal ended it. */
   ended(): Promise<number | null> {
     return this.hasExited ? Promise.resolve(this.child.exitCode) : this.#exit;
   }
@@ -88,20 +88,24 @@
   return new Map(pairs.map(([key = '', value = '']) => [key, value]));
 }
 
-/** Starts a program and resolves when it listens. */
+/** Starts a program. Resolves when it listens; rejects if it exits or does not listen in time. */
 export function startProgram(
   name: ProgramName,
-  words: readonly string[],
+  commandPath: readonly string[],
   flags: Flags,
 ): Promise<RunningProgram> {
-  const child = spawn(process.execPath, [programPath(name), ...words, ...flagsOf(flags)], {
-    stdio: ['ignore', 'pipe', 'pipe'],
-  });
+  const child = spawn(
+    process.execPath,
+    [programPath(name), ...commandPath, ...formatFlags(flags)],
+    {
+      stdio: ['ignore', 'pipe', 'pipe'],
+    },
+  );
   return new Promise((resolve, reject) => {
     let output = '';
     const timer = setTimeout(() => {
       child.kill('SIGKILL');
-      reject(new Error(`${name} did not start: ${output}`));
+      reject(new Error(`${name} did not start listening in time: ${output}`));
     }, START_TIMEOUT_MS);
     const onOutput = (chunk: Buffer) => {
       output += chunk.toString('utf8');
@@ -115,7 +119,7 @@
     const onError = (chunk: Buffer) => (output += chunk.toString('utf8'));
     const onExit = () => {
       clearTimeout(timer);
-      reject(new Error(`${name} ended: ${output}`));
+      reject(new Error(`${name} exited before it was listening: ${output}`));
     };
     child.stdout.on('data', onOutput);
     child.stderr.on('data', onError);
--- a/packages/load/src/run-load.ts
+++ b/packages/load/src/run-load.ts
@@ -1,10 +1,10 @@
 import { callStream } from './stream-client.js';
 import type { StreamOutcome } from './stream-client.js';
 import { SAMPLE_MODEL, sampleKey } from './sample-objects.js';
-import { promptOf } from './workload.js';
+import { makeArrivalPrompt } from './workload.js';
 import type { Arrival } from './workload.js';
 
-/** One request's result. */
+/** Result of one request. */
 export interface LoadSample {
   readonly index: number;
   readonly atMs: number;
@@ -12,49 +12,53 @@
   readonly workspace: string;
   readonly code: StreamOutcome['code'];
   readonly requestId: string;
-  /** From the time it was due, not from when it was sent: no coordinated omission. */
+  /** From the scheduled arrival, not the actual send, to avoid coordinated omission. */
   readonly firstTokenMs: number | undefined;
   readonly totalMs: number;
   readonly tokens: number;
   readonly retryAfterMs: number | undefined;
 }
 
-/** Where a workload is sent. */
+/** Gateways that a workload is sent to, with its seed and time limit. */
 export interface LoadTarget {
   readonly urls: readonly string[];
   readonly seed: number;
   readonly timeLimitMs: number;
 }
 
-async function send(arrival: Arrival, target: LoadTarget, startedAt: number): Promise<LoadSample> {
+async function send(
+  arrival: Arrival,
+  target: LoadTarget,
+  startedAtMs: number,
+): Promise<LoadSample> {
   const { index, atMs, promptTokens, workspace } = arrival;
   const outcome = await callStream(
     {
       url: target.urls[index % target.urls.length] ?? '',
       key: sampleKey(workspace),
       model: SAMPLE_MODEL,
-      prompt: promptOf(arrival, target.seed),
+      prompt: makeArrivalPrompt(arrival, target.seed),
       maxTokens: arrival.maxTokens,
       timeLimitMs: target.timeLimitMs,
     },
-    startedAt + atMs,
+    startedAtMs + atMs,
   );
   const { code, requestId, firstTokenMs, totalMs, tokens, retryAfterMs } = outcome;
   const result = { code, requestId, firstTokenMs, totalMs, tokens, retryAfterMs };
   return { index, atMs, promptTokens, workspace, ...result };
 }
 
-/** Sends each arrival at its time, whatever the others do, and waits for all results. */
+/** Sends each request at its arrival time, independent of the others, and waits for all results. */
 export function runLoad(
   arrivals: readonly Arrival[],
   target: LoadTarget,
 ): Promise<readonly LoadSample[]> {
-  const startedAt = performance.now();
+  const startedAtMs = performance.now();
   const running = arrivals.map(
     (arrival) =>
       new Promise<LoadSample>((resolve) => {
         setTimeout(() => {
-          void send(arrival, target, startedAt).then(resolve);
+          void send(arrival, target, startedAtMs).then(resolve);
         }, arrival.atMs);
       }),
   );
--- a/packages/load/src/stream-client.ts
+++ b/packages/load/src/stream-client.ts
@@ -4,7 +4,7 @@
 import { createParser } from 'eventsource-parser';
 import { z } from 'zod';
 
-/** A streamed completion call. */
+/** A completion call whose response is streamed. */
 export interface StreamCall {
   readonly url: string;
   readonly key: string;
@@ -16,13 +16,13 @@
   readonly signal?: AbortSignal;
 }
 
-/** How a streamed call ended, as its caller saw it. `lost`: no final word was received. */
+/** Result of a streamed call as its caller saw it. `lost`: neither an end nor an error arrived. */
 export interface StreamOutcome {
   readonly code: ResultName | 'lost';
   readonly requestId: string;
   readonly text: string;
   readonly tokens: number;
-  /** Index of the last token received; -1 before the first. */
+  /** Index of the last token received; -1 if there was none. */
   readonly lastIndex: number;
   readonly firstTokenMs: number | undefined;
   readonly totalMs: number;
@@ -30,27 +30,27 @@
 }
 
 const MAX_SOCKETS = 4096;
-/** Shorter than the gateway keeps an idle connection. */
-const IDLE_MS = 30_000;
-const agent = new Agent({ keepAlive: true, maxSockets: MAX_SOCKETS, timeout: IDLE_MS });
+/** Shorter than the time for which the gateway keeps an idle connection open. */
+const IDLE_TIMEOUT_MS = 30_000;
+const agent = new Agent({ keepAlive: true, maxSockets: MAX_SOCKETS, timeout: IDLE_TIMEOUT_MS });
 
 const chunkSchema = z.object({ choices: z.array(z.object({ text: z.string() })).min(1) });
 const errorSchema = z.object({
   error: z.object({ code: z.string(), retry_after_ms: z.number().optional() }),
 });
 
-interface Seen {
+interface StreamProgress {
   requestId: string;
   text: string;
   tokens: number;
   lastIndex: number;
-  firstTokenAt: number | undefined;
+  firstTokenAtMs: number | undefined;
   isDone: boolean;
   code: ResultName | undefined;
   retryAfterMs: number | undefined;
 }
 
-function takeError(seen: Seen, value: unknown): boolean {
+function recordError(seen: StreamProgress, value: unknown): boolean {
   const error = errorSchema.safeParse(value);
   if (!error.success) return false;
   const { code, retry_after_ms } = error.data.error;
@@ -59,48 +59,51 @@
   return true;
 }
 
-function takeEvent(seen: Seen, id: string | undefined, data: string): void {
+function recordEvent(seen: StreamProgress, id: string | undefined, data: string): void {
   if (data === '[DONE]') {
     seen.isDone = true;
     return;
   }
   const value = parseJson(data);
-  if (takeError(seen, value)) return;
+  if (recordError(seen, value)) return;
   const chunk = chunkSchema.safeParse(value);
   const text = chunk.success ? (chunk.data.choices[0]?.text ?? '') : '';
   if (text === '') return;
-  seen.firstTokenAt ??= performance.now();
+  seen.firstTokenAtMs ??= performance.now();
   seen.text += text;
   seen.tokens += 1;
   const index = Number(id?.split(':')[1] ?? Number.NaN);
   if (Number.isInteger(index)) seen.lastIndex = index;
 }
 
-function outcomeOf(seen: Seen, startedAt: number): StreamOutcome {
-  const { requestId, text, tokens, lastIndex, firstTokenAt, retryAfterMs } = seen;
+function toOutcome(seen: StreamProgress, startedAtMs: number): StreamOutcome {
+  const { requestId, text, tokens, lastIndex, firstTokenAtMs, retryAfterMs } = seen;
   return {
     code: seen.isDone ? 'ok' : (seen.code ?? 'lost'),
     requestId,
     text,
     tokens,
     lastIndex,
-    firstTokenMs: firstTokenAt === undefined ? undefined : firstTokenAt - startedAt,
-    totalMs: performance.now() - startedAt,
+    firstTokenMs: firstTokenAtMs === undefined ? undefined : firstTokenAtMs - startedAtMs,
+    totalMs: performance.now() - startedAtMs,
     retryAfterMs,
   };
 }
 
-/** Makes a streamed call and reads it to its end; never rejects. */
+/**
+ * Makes a streamed call and reads the response to its end; never rejects. Times are measured from
+ * `startedAtMs`, in milliseconds of `performance.now`.
+ */
 export function callStream(
   call: StreamCall,
-  startedAt = performance.now(),
+  startedAtMs = performance.now(),
 ): Promise<StreamOutcome> {
-  const seen: Seen = {
+  const seen: StreamProgress = {
     requestId: '',
     text: '',
     tokens: 0,
     lastIndex: -1,
-    firstTokenAt: undefined,
+    firstTokenAtMs: undefined,
     isDone: false,
     code: undefined,
     retryAfterMs: undefined,
@@ -109,7 +112,7 @@
   const body = JSON.stringify({ model, max_tokens: maxTokens, stream: true, prompt });
   return new Promise((resolve) => {
     const end = () => {
-      resolve(outcomeOf(seen, startedAt));
+      resolve(toOutcome(seen, startedAtMs));
     };
     const outgoing = startHttp(
       `${call.url}/v1/completions`,
@@ -135,12 +138,12 @@
         if (response.statusCode !== 200) {
           let text = '';
           response.on('data', (chunk: string) => (text += chunk));
-          response.once('end', () => takeError(seen, parseJson(text)));
+          response.once('end', () => recordError(seen, parseJson(text)));
           return;
         }
         const parser = createParser({
           onEvent: ({ id, data }) => {
-            takeEvent(seen, id, data);
+            recordEvent(seen, id, data);
           },
         });
         response.on('data', (chunk: string) => {
--- a/packages/load/src/workload.ts
+++ b/packages/load/src/workload.ts
@@ -3,7 +3,7 @@
 import { seededRandom } from './seeded-random.js';
 import { SAMPLE_WORKSPACES } from './sample-objects.js';
 
-/** One request of a workload, at its time of arrival. */
+/** A request of a workload and its time of arrival. */
 export interface Arrival {
   readonly index: number;
   /** From the start of the run, in milliseconds. */
@@ -11,31 +11,31 @@
   readonly workspace: string;
   readonly promptTokens: number;
   readonly maxTokens: number;
-  /** The document that it shares its first tokens with. */
+  /** Number of the document that its prompt starts with; undefined if the prompt is unique. */
   readonly document: number | undefined;
 }
 
-/** What a workload looks like. */
+/** Settings of a generated workload. */
 export interface WorkloadOptions {
   readonly seed: number;
   readonly requestsPerSecond: number;
   readonly durationMs: number;
-  /** Short questions come this many times more often during a burst; 1 for none. */
+  /** Factor by which the arrival rate increases during a burst; 1 for no burst. */
   readonly burstFactor: number;
-  /** Share of prompts over 100,000 tokens. */
+  /** Share of prompts over 100,000 tokens outside a burst; half of it during a burst. */
   readonly hugeShare: number;
 }
 
-/** Prompts below this are short questions. */
+/** Prompts with fewer tokens than this count as short questions. */
 export const SHORT_PROMPT_TOKENS = 8192;
 
 const MIDDLE_SHARE = 0.18;
 const SHORT_RANGE = [800, 4000] as const;
 const MIDDLE_RANGE = [4000, 100_000] as const;
 const HUGE_RANGE = [100_000, 1_000_000] as const;
-const DOCUMENTS = 24;
+const DOCUMENT_COUNT = 24;
 const SHARED_DOCUMENT_CHANCE = 0.3;
-const SHARED_PART = 0.8;
+const SHARED_PROMPT_SHARE = 0.8;
 const OUTPUT_RANGE = [8, 64] as const;
 const BURST_FROM = 0.4;
 const BURST_TO = 0.6;
@@ -49,32 +49,35 @@
 }
 
 function chooseWorkspace(uniform: Uniform): string {
-  let rest = uniform();
+  let remaining = uniform();
   for (const { name, share } of SAMPLE_WORKSPACES) {
-    rest -= share;
-    if (rest <= 0) return name;
+    remaining -= share;
+    if (remaining <= 0) return name;
   }
   return SAMPLE_WORKSPACES[0].name;
 }
 
-function choosePrompt(hugeShare: number, uniform: Uniform): number {
+function choosePromptTokens(hugeShare: number, uniform: Uniform): number {
   const kind = uniform();
   if (kind < hugeShare) return logUniform(HUGE_RANGE, uniform);
   if (kind < hugeShare + MIDDLE_SHARE) return logUniform(MIDDLE_RANGE, uniform);
   return logUniform(SHORT_RANGE, uniform);
 }
 
-/** The arrivals of a workload: a Poisson process, the same for the same seed. */
+/** Generates the arrivals of a workload as a Poisson process; the same seed gives the same ones. */
 export function makeWorkload(options: WorkloadOptions): readonly Arrival[] {
   const uniform = seededRandom(options.seed);
   const arrivals: Arrival[] = [];
   let atMs = 0;
   while (atMs < options.durationMs) {
-    const part = atMs / options.durationMs;
-    const isBurst = part >= BURST_FROM && part < BURST_TO;
+    const elapsedShare = atMs / options.durationMs;
+    const isBurst = elapsedShare >= BURST_FROM && elapsedShare < BURST_TO;
     const rate = options.requestsPerSecond * (isBurst ? options.burstFactor : 1);
     atMs += (-Math.log(1 - uniform()) / rate) * MS_PER_SECOND;
-    const promptTokens = choosePrompt(isBurst ? options.hugeShare / 2 : options.hugeShare, uniform);
+    const promptTokens = choosePromptTokens(
+      isBurst ? options.hugeShare / 2 : options.hugeShare,
+      uniform,
+    );
     const isShared = promptTokens > SHORT_PROMPT_TOKENS && uniform() < SHARED_DOCUMENT_CHANCE;
     arrivals.push({
       index: arrivals.length,
@@ -82,19 +85,19 @@
       workspace: chooseWorkspace(uniform),
       promptTokens,
       maxTokens: logUniform(OUTPUT_RANGE, uniform),
-      document: isShared ? Math.floor(uniform() * DOCUMENTS) : undefined,
+      document: isShared ? Math.floor(uniform() * DOCUMENT_COUNT) : undefined,
     });
   }
   return arrivals;
 }
 
-/** The prompt of an arrival: unique, but for the document that it may start with. */
-export function promptOf(arrival: Arrival, seed: number): string {
+/** Builds the prompt of an arrival. It is unique except for the document that it may start with. */
+export function makeArrivalPrompt(arrival: Arrival, seed: number): string {
   const { document, index, promptTokens } = arrival;
   const unique = `request ${String(seed)}-${String(index)} `;
   if (document === undefined) return makePrompt(unique, promptTokens);
-  const shared = Math.floor(promptTokens * SHARED_PART);
-  const head = makePrompt(`document ${String(seed)}-${String(document)} `, shared);
-  const rest = promptTokens - Math.ceil(head.length / CHARACTERS_PER_TOKEN);
-  return head + makePrompt(unique, rest);
+  const shared = Math.floor(promptTokens * SHARED_PROMPT_SHARE);
+  const prefix = makePrompt(`document ${String(seed)}-${String(document)} `, shared);
+  const remaining = promptTokens - Math.ceil(prefix.length / CHARACTERS_PER_TOKEN);
+  return prefix + makePrompt(unique, remaining);
 }
--- a/packages/mocks/src/memory-table.ts
+++ b/packages/mocks/src/memory-table.ts
@@ -7,13 +7,17 @@
 } from '@poppypond/state';
 import { Result } from 'true-myth';
 
-/** What happens to the next call. `lost`: it takes effect and its answer is lost. */
+/**
+ * Outcome of a call. `down`: it fails without effect. `lost`: it takes effect and its response is
+ * lost. `hang-then-lost`: its response is lost at once and it takes effect later. A read fails with
+ * every outcome except `ok`.
+ */
 export type CallOutcome = 'ok' | 'down' | 'lost' | 'hang-then-lost';
 
-/** Decides the fate of each call; `isWrite` tells reads from writes. */
+/** Decides the outcome of each call; `isWrite` distinguishes writes from reads. */
 export type PickOutcome = (isWrite: boolean) => CallOutcome;
 
-/** Waits before and after a call takes effect, so that a test can order calls. */
+/** Awaited before and after a call takes effect, so that a test can order concurrent calls. */
 export type YieldPoint = (label: string) => Promise<void>;
 
 const UNAVAILABLE: StoreFault = { reason: 'unavailable', detail: 'down' };
@@ -38,14 +42,14 @@
   }
 }
 
-/** Rows of a store that forgets to check: a planted fault that every checker must find. */
+/** Rows without version checks: a deliberate fault that every checker has to find. */
 export class UncheckedRows extends MemoryRows {
   override apply(transaction: TableTransaction): TransactionResult {
     return super.apply({ ...transaction, checks: [] });
   }
 }
 
-/** One client's view of a table in memory, with faults. */
+/** One client's view of an in-memory table, with faults. */
 export class MemoryTable implements TableStore {
   constructor(
     readonly shared: MemoryRows,
@@ -54,18 +58,18 @@
   ) {}
 
   async get(key: string): Promise<Result<TableRow | undefined, StoreFault>> {
-    const fate = this.pickOutcome(false);
+    const outcome = this.pickOutcome(false);
     await this.yieldAt(`get ${key}`);
-    if (fate !== 'ok') return Result.err(UNAVAILABLE);
+    if (outcome !== 'ok') return Result.err(UNAVAILABLE);
     const row = this.shared.rows.get(key);
     await this.yieldAt(`got ${key}`);
     return Result.ok(row);
   }
 
   async scan(prefix: string, after = ''): Promise<Result<readonly TableRow[], StoreFault>> {
-    const fate = this.pickOutcome(false);
+    const outcome = this.pickOutcome(false);
     await this.yieldAt(`scan ${prefix}`);
-    if (fate !== 'ok') return Result.err(UNAVAILABLE);
+    if (outcome !== 'ok') return Result.err(UNAVAILABLE);
     const rows = [...this.shared.rows.values()]
       .filter((row) => row.key.startsWith(prefix) && row.key > after)
       .sort((a, b) => (a.key < b.key ? -1 : 1));
@@ -73,15 +77,15 @@
   }
 
   async transact(transaction: TableTransaction): Promise<Result<TransactionResult, StoreFault>> {
-    const fate = this.pickOutcome(true);
-    if (fate === 'down') return Result.err(UNAVAILABLE);
-    if (fate === 'hang-then-lost') {
+    const outcome = this.pickOutcome(true);
+    if (outcome === 'down') return Result.err(UNAVAILABLE);
+    if (outcome === 'hang-then-lost') {
       void this.yieldAt('late write').then(() => this.shared.apply(transaction));
       return Result.err(UNCONFIRMED);
     }
     await this.yieldAt('write');
     const result = this.shared.apply(transaction);
     await this.yieldAt('written');
-    return fate === 'lost' ? Result.err(UNCONFIRMED) : Result.ok(result);
+    return outcome === 'lost' ? Result.err(UNCONFIRMED) : Result.ok(result);
   }
 }
--- a/packages/standin/src/engine/batch.ts
+++ b/packages/standin/src/engine/batch.ts
@@ -4,25 +4,25 @@
 /** How a sequence ended. */
 export type SequenceEnd = 'done' | 'cancelled' | 'time_limit';
 
-/** One sequence in the batch. */
+/** A sequence to run in the batch. */
 export interface Sequence {
   readonly key: string;
   readonly priority: number;
-  /** Prompt tokens that are not cached or imported. */
+  /** Prompt tokens to prefill: those that are neither cached nor imported. */
   readonly prefillTokens: number;
   /** Index of the first token to generate. */
   readonly firstToken: number;
-  /** Index after the last token to generate. */
+  /** Index one past the last token to generate. */
   readonly endToken: number;
   readonly deadlineMs: Milliseconds;
-  /** Extra time before prefill starts, for imports. */
+  /** Time before prefill starts, in which the KV cache is imported. */
   readonly startDelayMs: Milliseconds;
-  /** Called for each token, in order. */
+  /** Called for each generated token, in order. */
   readonly onToken: (index: number) => void;
   readonly onEnd: (end: SequenceEnd) => void;
 }
 
-interface Running {
+interface RunningSequence {
   readonly sequence: Sequence;
   readonly arrival: number;
   readonly readyAtMs: Milliseconds;
@@ -31,19 +31,22 @@
 }
 
 interface Step {
-  readonly decoding: readonly Running[];
-  readonly prefilling: readonly { readonly running: Running; readonly tokens: number }[];
+  readonly decoding: readonly RunningSequence[];
+  readonly prefilling: readonly { readonly running: RunningSequence; readonly tokens: number }[];
   readonly prefillTokens: number;
 }
 
-/** Continuous batching with chunked prefill: one step at a time, by priority then arrival. */
+/**
+ * Models continuous batching with chunked prefill. Each step decodes one token of every prefilled
+ * sequence and prefills the others up to the chunk size, by priority, then by arrival.
+ */
 export class Batch {
-  readonly #running = new Map<string, Running>();
+  readonly #running = new Map<string, RunningSequence>();
   #arrivals = 0;
   #cancelTimer: CancelTimer | undefined;
   #nextStepAtMs: Milliseconds = 0;
   #pausedUntilMs: Milliseconds = 0;
-  /** Multiplies every step's time; a fault switch. */
+  /** Fault switch: multiplies the duration of each step. */
   slowdown = 1;
 
   constructor(
@@ -55,7 +58,7 @@
     return this.#running.size;
   }
 
-  /** Adds the prompt tokens still to be prefilled to `byPriority`. */
+  /** Adds the prompt tokens that are still to be prefilled to `byPriority`. */
   addPendingPrefill(byPriority: number[]): void {
     for (const { sequence, prefilled } of this.#running.values()) {
       const tokens = sequence.prefillTokens - prefilled;
@@ -80,7 +83,7 @@
       prefilled: 0,
       nextToken: sequence.firstToken,
     });
-    this.#wake();
+    this.#startStepping();
   }
 
   cancel(key: string): boolean {
@@ -90,7 +93,7 @@
     return true;
   }
 
-  /** Stops stepping for a time; a fault switch. */
+  /** Fault switch: steps that are planned from now on end after `durationMs` at the earliest. */
   pause(durationMs: Milliseconds): void {
     this.#pausedUntilMs = this.clock.monotonicMs() + durationMs;
   }
@@ -100,7 +103,7 @@
     this.#cancelTimer = undefined;
   }
 
-  #wake(): void {
+  #startStepping(): void {
     if (this.#cancelTimer || this.#running.size === 0) return;
     this.#nextStepAtMs = this.clock.monotonicMs();
     this.#schedule();
@@ -123,8 +126,8 @@
 
   #plan(): Step {
     const now = this.clock.monotonicMs();
-    const decoding: Running[] = [];
-    const waiting: Running[] = [];
+    const decoding: RunningSequence[] = [];
+    const waiting: RunningSequence[] = [];
     for (const running of this.#running.values()) {
       if (running.readyAtMs > now) continue;
       if (running.prefilled >= running.sequence.prefillTokens) decoding.push(running);
@@ -132,7 +135,7 @@
     }
     waiting.sort((a, b) => b.sequence.priority - a.sequence.priority || a.arrival - b.arrival);
     let budget = this.settings.chunkTokens;
-    const prefilling: { running: Running; tokens: number }[] = [];
+    const prefilling: { running: RunningSequence; tokens: number }[] = [];
     for (const running of waiting) {
       if (budget === 0) break;
       const tokens = Math.min(budget, running.sequence.prefillTokens - running.prefilled);
@@ -155,7 +158,7 @@
     if (this.#running.size > 0) this.#schedule();
   }
 
-  #emit(running: Running): void {
+  #emit(running: RunningSequence): void {
     const { sequence } = running;
     if (!this.#running.has(sequence.key)) return;
     if (running.nextToken < sequence.endToken) {
@@ -165,7 +168,7 @@
     if (running.nextToken >= sequence.endToken) this.#end(running, 'done');
   }
 
-  #end(running: Running, end: SequenceEnd): void {
+  #end(running: RunningSequence, end: SequenceEnd): void {
     if (!this.#running.delete(running.sequence.key)) return;
     running.sequence.onEnd(end);
     if (this.#running.size === 0) this.stop();
--- a/packages/standin/src/engine/generate-call.ts
+++ b/packages/standin/src/engine/generate-call.ts
@@ -22,17 +22,17 @@
   'x-max-tokens': headerNumber.pipe(z.int().positive()).optional(),
   'x-time-remaining-ms': headerNumber.pipe(z.number().positive()).default(600_000),
   'x-resume-offset': headerNumber.pipe(z.int().nonnegative()).default(0),
-  /** 1: wait inside the engine for memory; 0: be refused at once. */
+  /** 1: queue in the engine until memory is free; 0: be refused immediately. */
   'x-wait': z.enum(['0', '1']).default('1'),
-  /** Use this reservation in place of a new one. */
+  /** Run under this reservation instead of a new one. */
   'x-reservation': z.string().optional(),
-  /** Prefill only, then hold the KV cache for export. */
+  /** 1: prefill only, then hold the KV cache for export. */
   'x-prefill-only': z.enum(['0', '1']).default('0'),
-  /** `URL#RESERVATION` of the KV caches that come before this prompt, comma separated. */
+  /** `URL#RESERVATION` of the KV caches to import before this prompt, comma separated, in order. */
   'x-imports': z.string().optional(),
 });
 
-/** A checked call to generate. */
+/** A validated call to generate. */
 export interface GenerateCall {
   readonly requestId: string;
   readonly attempt: number;
@@ -41,7 +41,7 @@
   readonly priority: number;
   readonly timeRemainingMs: Milliseconds;
   readonly resumeOffset: number;
-  readonly mayWait: boolean;
+  readonly canWait: boolean;
   readonly reservationId: string | undefined;
   readonly prefillOnly: boolean;
   readonly imports: readonly string[];
@@ -51,43 +51,43 @@
   readonly maxTokens: number;
 }
 
-/** Checks a call; a string says what is wrong. */
+/** Validates a call. Returns a string that names the invalid header or field if there is one. */
 export function parseGenerateCall(
   headers: Readonly<Record<string, string | readonly string[] | undefined>>,
   body: string,
 ): GenerateCall | string {
-  const head = headersSchema.safeParse(headers);
-  if (!head.success) return `header ${String(head.error.issues[0]?.path[0])}`;
+  const parsedHeaders = headersSchema.safeParse(headers);
+  if (!parsedHeaders.success) return `header ${String(parsedHeaders.error.issues[0]?.path[0])}`;
   const parsed = bodySchema.safeParse(parseJson(body));
   if (!parsed.success) return `field ${String(parsed.error.issues[0]?.path.join('.'))}`;
   const prompt = parsed.data.prompt ?? chatPrompt(parsed.data.messages ?? []);
-  const h = head.data;
+  const headerValues = parsedHeaders.data;
   return {
-    requestId: h['x-request'],
-    attempt: h['x-attempt'],
-    owner: h['x-owner'],
-    dispatch: h['x-dispatch'],
-    priority: h['x-priority'],
-    timeRemainingMs: h['x-time-remaining-ms'],
-    resumeOffset: h['x-resume-offset'],
-    mayWait: h['x-wait'] === '1',
-    reservationId: h['x-reservation'],
-    prefillOnly: h['x-prefill-only'] === '1',
-    imports: h['x-imports']?.split(',') ?? [],
+    requestId: headerValues['x-request'],
+    attempt: headerValues['x-attempt'],
+    owner: headerValues['x-owner'],
+    dispatch: headerValues['x-dispatch'],
+    priority: headerValues['x-priority'],
+    timeRemainingMs: headerValues['x-time-remaining-ms'],
+    resumeOffset: headerValues['x-resume-offset'],
+    canWait: headerValues['x-wait'] === '1',
+    reservationId: headerValues['x-reservation'],
+    prefillOnly: headerValues['x-prefill-only'] === '1',
+    imports: headerValues['x-imports']?.split(',') ?? [],
     model: parsed.data.model,
     prompt,
     promptTokens: estimateTokens(prompt),
-    maxTokens: h['x-max-tokens'] ?? parsed.data.max_tokens ?? DEFAULT_OUTPUT_TOKENS,
+    maxTokens: headerValues['x-max-tokens'] ?? parsed.data.max_tokens ?? DEFAULT_OUTPUT_TOKENS,
   };
 }
 
-/** The blocks of a prompt after what was imported, and the chain value after all of it. */
-export function chainsOf(
+/** Chain hashes of a prompt's blocks and of the whole prompt, continued from an imported prefix. */
+export function hashPrompt(
   prompt: string,
   start: bigint = CHAIN_START,
-): { readonly blocks: readonly bigint[]; readonly whole: bigint } {
+): { readonly blocks: readonly bigint[]; readonly promptHash: bigint } {
   return {
     blocks: hashBlocks(prompt, Number.POSITIVE_INFINITY, start),
-    whole: hashText(prompt, start),
+    promptHash: hashText(prompt, start),
   };
 }
--- a/packages/standin/src/engine/orders.ts
+++ b/packages/standin/src/engine/orders.ts
@@ -1,11 +1,11 @@
 import type { Clock, Milliseconds } from '@poppypond/core';
 import { z } from 'zod';
 
-/** An order to an engine: what to change, and the fencing token of who says so. */
-export const orderSchema = z.object({
+/** A command to an engine and the fencing token of its sender's lease. */
+export const fencedCommandSchema = z.object({
   scope: z.string().min(1),
   fence: z.int().nonnegative(),
-  /** From receipt; an order that is read later is void. */
+  /** Time from receipt after which the command expires. */
   expiresInMs: z.number().positive(),
   order: z.discriminatedUnion('kind', [
     z.object({
@@ -20,27 +20,27 @@
   ]),
 });
 
-/** A checked order. */
-export type EngineOrder = z.infer<typeof orderSchema>;
+/** A validated command. */
+export type FencedCommand = z.infer<typeof fencedCommandSchema>;
 
-/** An order that was followed, for the ground truth. */
-export interface FollowedOrder {
+/** A command that was accepted, recorded for the ground truth. */
+export interface FollowedCommand {
   readonly atMs: Milliseconds;
-  readonly order: EngineOrder;
+  readonly order: FencedCommand;
 }
 
-/** Decides which orders are followed. */
-export class OrderGate {
+/** Accepts commands, and refuses those with an outdated fencing token if `checksFencing` is set. */
+export class CommandGate {
   readonly #highest = new Map<string, number>();
-  readonly followed: FollowedOrder[] = [];
+  readonly followed: FollowedCommand[] = [];
 
   constructor(
     readonly checksFencing: boolean,
     readonly clock: Clock,
   ) {}
 
-  /** Whether the order is to be followed; the highest token seen for the scope is kept. */
-  accept(order: EngineOrder): boolean {
+  /** Whether the command is to be executed. Keeps the highest fencing token of each scope. */
+  accept(order: FencedCommand): boolean {
     const highest = this.#highest.get(order.scope) ?? 0;
     if (this.checksFencing && order.fence < highest) return false;
     this.#highest.set(order.scope, Math.max(highest, order.fence));
--- a/packages/standin/src/platform/table.ts
+++ b/packages/standin/src/platform/table.ts
@@ -3,7 +3,7 @@
 
 const jsonSchema: z.ZodType<Json> = z.json();
 
-/** A transaction: every check must hold, then every write is applied. */
+/** A transaction. If every check holds, all writes are applied; otherwise none is. */
 export const transactionSchema = z.object({
   /** `version` 0 means that the row must not exist. */
   checks: z.array(z.object({ key: z.string(), version: z.int().nonnegative() })).default([]),
@@ -11,10 +11,10 @@
   deletes: z.array(z.string()).default([]),
 });
 
-/** A checked transaction. */
+/** A validated transaction. */
 export type Transaction = z.infer<typeof transactionSchema>;
 
-/** A row. */
+/** A row with the version of its last write. */
 export interface Row {
   readonly key: string;
   readonly version: number;
@@ -24,7 +24,7 @@
 /** A transactional table of versioned rows, ordered by key. */
 export class Table {
   readonly #rows = new Map<string, Row>();
-  #sorted: readonly string[] | undefined;
+  #sortedKeys: readonly string[] | undefined;
   #version = 0;
 
   constructor(readonly clock: Clock) {}
@@ -33,11 +33,11 @@
     return this.#rows.get(key);
   }
 
-  /** Rows whose key starts with `prefix` and is after `after`. */
+  /** Up to `limit` rows in key order whose key starts with `prefix` and sorts after `after`. */
   scan(prefix: string, after: string, limit: number): readonly Row[] {
-    this.#sorted ??= [...this.#rows.keys()].sort();
+    this.#sortedKeys ??= [...this.#rows.keys()].sort();
     const rows: Row[] = [];
-    for (const key of this.#sorted) {
+    for (const key of this.#sortedKeys) {
       if (rows.length >= limit) break;
       if (!key.startsWith(prefix) || key <= after) continue;
       const row = this.#rows.get(key);
@@ -46,7 +46,10 @@
     return rows;
   }
 
-  /** Applies a transaction; otherwise returns the rows whose check failed. */
+  /**
+   * Applies a transaction and returns an empty list, or applies nothing and returns the rows whose
+   * check failed, with their current version (0 if the row does not exist).
+   */
   transact(
     transaction: Transaction,
   ): readonly { readonly key: string; readonly version: number }[] {
@@ -57,16 +60,16 @@
     if (failed.length > 0) return failed;
     this.#version += 1;
     for (const { key, value } of transaction.puts) {
-      if (!this.#rows.has(key)) this.#sorted = undefined;
+      if (!this.#rows.has(key)) this.#sortedKeys = undefined;
       this.#rows.set(key, { key, version: this.#version, value });
     }
     for (const key of transaction.deletes) {
-      if (this.#rows.delete(key)) this.#sorted = undefined;
+      if (this.#rows.delete(key)) this.#sortedKeys = undefined;
     }
     return [];
   }
 
-  /** The version of the newest write. */
+  /** Version of the latest transaction. */
   get version(): number {
     return this.#version;
   }
--- a/packages/standin/src/service/app.ts
+++ b/packages/standin/src/service/app.ts
@@ -9,17 +9,17 @@
 const BODY_TIMEOUT_MS = 10_000;
 
 const serviceFaultsSchema = z.strictObject({
-  /** Runs the next calls, then closes the connection without an answer. */
+  /** Runs this many of the next calls but closes the connection instead of responding. */
   loseAnswers: z.int().nonnegative().optional(),
-  /** Refuses the next calls with status 503 and doesn't run them. */
+  /** Refuses this many of the next calls with status 503 without running them. */
   refuseCalls: z.int().nonnegative().optional(),
-  /** Asks for this rest with each call that it refuses; 0: for none. */
+  /** Retry-After of each call that it refuses, which asks for a backoff; 0 for none. */
   restSeconds: z.number().nonnegative().optional(),
   slowMs: z.number().nonnegative().optional(),
   leaving: z.boolean().optional(),
 });
 
-/** One call that ran, for the ground truth. */
+/** A call that ran, recorded for the ground truth. */
 export interface ServiceRun {
   readonly atMs: number;
   readonly requestId: string;
@@ -28,14 +28,14 @@
   readonly body: string;
 }
 
-/** A plain service: a register that records each call it runs. */
-export class PlainService {
+/** A fake service that records each call that it runs. */
+export class FakeService {
   readonly runs: ServiceRun[] = [];
   readonly faults = { loseAnswers: 0, refuseCalls: 0, restSeconds: 0, slowMs: 0, leaving: false };
 
   constructor(readonly clock: Clock) {}
 
-  /** Runs one call and answers with a receipt. */
+  /** Runs a call and responds with a receipt: the number of calls run so far. */
   async run(request: IncomingMessage, response: ServerResponse): Promise<void> {
     const body = await readBody(request, MAX_BODY_BYTES, BODY_TIMEOUT_MS);
     if (body.isErr) return sendFault(response, body.error);
@@ -64,18 +64,18 @@
 
   #refuse(response: ServerResponse, refused: string): void {
     const { restSeconds } = this.faults;
-    const rest = restSeconds > 0 ? { 'retry-after': String(restSeconds) } : {};
-    sendJson(response, 503, { refused }, { 'x-not-run': '1', ...rest });
+    const backoffHeaders = restSeconds > 0 ? { 'retry-after': String(restSeconds) } : {};
+    sendJson(response, 503, { refused }, { 'x-not-run': '1', ...backoffHeaders });
   }
 }
 
-/** Starts a plain service stand-in. */
-export async function startService(
+/** Starts a fake service. */
+export async function startFakeService(
   clock: Clock,
   address: string,
   port: number,
-): Promise<{ readonly service: PlainService; readonly server: ListeningServer }> {
-  const service = new PlainService(clock);
+): Promise<{ readonly service: FakeService; readonly server: ListeningServer }> {
+  const service = new FakeService(clock);
   const router = new Router();
   router
     .on('GET', '/truth', ({ response }) => {
