--- a/packages/controller/src/models/plan-orders.test.ts
+++ b/packages/controller/src/models/plan-commands.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest';
-import { planLoad, planRole, planUnload, DelayedDecrease } from './plan-orders.js';
-import type { PlannedEngine, DesiredModel } from './plan-orders.js';
+import { planLoad, planRole, planUnload, DelayedDecrease } from './plan-commands.js';
+import type { PlannedEngine, DesiredModel } from './plan-commands.js';
 import { versionToLoad } from './rollout.js';
 
 function engine(name: string, models: Record<string, string> = {}): PlannedEngine {
--- a/packages/controller/src/models/pool-controller.ts
+++ b/packages/controller/src/models/pool-controller.ts
@@ -7,8 +7,8 @@
 import { Lease } from '@poppypond/state';
 import type { HeldLease } from '@poppypond/state';
 import type { ControllerContext } from '../context.js';
-import { chooseHolders, planLoad, planRole, planUnload, DelayedDecrease } from './plan-orders.js';
-import type { PlannedEngine, PlannedCommand, DesiredModel } from './plan-orders.js';
+import { chooseHolders, planLoad, planRole, planUnload, DelayedDecrease } from './plan-commands.js';
+import type { PlannedEngine, PlannedCommand, DesiredModel } from './plan-commands.js';
 import { readRollout, versionToLoad, writeRollout } from './rollout.js';
 
 /** Consecutive failed loads after which a version is marked as failed. */
--- a/packages/controller/src/sweep/judge-reservation.test.ts
+++ b/packages/controller/src/sweep/find-release-reason.test.ts
@@ -1,6 +1,6 @@
 import type { MemoryReservation } from '@poppypond/backend';
 import { describe, expect, it } from 'vitest';
-import { isUnchanged, findReleaseReason } from './judge-reservation.js';
+import { isUnchanged, findReleaseReason } from './find-release-reason.js';
 
 const held: MemoryReservation = {
   id: 'kv-1',
--- a/packages/controller/src/sweep/memory-sweep.ts
+++ b/packages/controller/src/sweep/memory-sweep.ts
@@ -5,8 +5,8 @@
 import { callHttp } from '@poppypond/web';
 import { z } from 'zod';
 import type { ControllerContext } from '../context.js';
-import { isUnchanged, findReleaseReason } from './judge-reservation.js';
-import type { ClaimResponse } from './judge-reservation.js';
+import { isUnchanged, findReleaseReason } from './find-release-reason.js';
+import type { ClaimResponse } from './find-release-reason.js';
 
 const QUERY_TIMEOUT_MS = 2000;
 
--- a/packages/demo/src/commands.ts
+++ b/packages/demo/src/commands.ts
@@ -2,7 +2,7 @@
 import { defineCommand, portSetting, booleanSetting } from '@poppypond/settings';
 import { checkDemo } from './check.js';
 import { startDemo } from './demo.js';
-import { printUsageAndStatus } from './figures.js';
+import { printUsageAndStatus } from './print-status.js';
 
 /** Runs the whole system in one process on loopback. */
 export const demoCommand = defineCommand({
--- a/packages/emulator/src/commands.ts
+++ b/packages/emulator/src/commands.ts
@@ -5,10 +5,10 @@
   generateAlternatingScenario,
   generateDeployment,
   generateNotices,
-} from './draw-deployment.js';
+} from './generate-scenario.js';
 import type { ScenarioResult } from './outcome.js';
 import { summarizeOutcomes } from './outcome.js';
-import { Simulation } from './play-day.js';
+import { Simulation } from './simulation.js';
 
 /** Formats the result of one simulation as a line of JSON. */
 function formatResult(
--- a/packages/emulator/src/index.ts
+++ b/packages/emulator/src/index.ts
@@ -1,4 +1,4 @@
 export * from './deployment.js';
-export * from './draw-deployment.js';
+export * from './generate-scenario.js';
 export * from './outcome.js';
-export * from './play-day.js';
+export * from './simulation.js';
--- a/packages/emulator/src/play-day.test.ts
+++ b/packages/emulator/src/simulation.test.ts
@@ -14,10 +14,10 @@
   generateAlternatingScenario,
   generateDeployment,
   generateNotices,
-} from './draw-deployment.js';
-import { LIMIT_PER_SECOND } from './engine-words.js';
+} from './generate-scenario.js';
+import { LIMIT_PER_SECOND } from './engine-notices.js';
 import { summarizeOutcomes } from './outcome.js';
-import { Simulation } from './play-day.js';
+import { Simulation } from './simulation.js';
 
 function simulate(seed: number) {
   const random = seededRandom(seed);
--- a/packages/emulator/src/play-day.ts
+++ b/packages/emulator/src/simulation.ts
@@ -9,7 +9,7 @@
 import { engineIdOf } from './deployment.js';
 import type { Scenario, Deployment } from './deployment.js';
 import { EmulatedEngine } from './emulated-engine.js';
-import { EngineNotices } from './engine-words.js';
+import { EngineNotices } from './engine-notices.js';
 import type { Outcome, OutcomeKind } from './outcome.js';
 import { generateArrivals } from './traffic.js';
 import type { Arrival } from './traffic.js';
--- a/packages/fleet/src/accepted-harm.test.ts
+++ b/packages/fleet/src/acceptable-interference.test.ts
@@ -1,7 +1,7 @@
 import * as fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
-import { acceptableInterference } from './accepted-harm.js';
-import { streamValue } from './stream-worth.js';
+import { acceptableInterference } from './acceptable-interference.js';
+import { streamValue } from './stream-value.js';
 
 const demand = {
   promptTokens: 200_000,
--- a/packages/fleet/src/accepted-harm.ts
+++ b/packages/fleet/src/acceptable-interference.ts
@@ -1,7 +1,7 @@
 import type { Milliseconds } from '@poppypond/core';
-import { LATE_VALUE_LOSS } from './harm.js';
+import { LATE_VALUE_LOSS } from './interference.js';
 import type { StreamDemand } from './stream-plan.js';
-import { streamValue } from './stream-worth.js';
+import { streamValue } from './stream-value.js';
 
 /** What to expect for a prompt that starts now. */
 export interface StartForecast {
--- a/packages/fleet/src/engine-load.ts
+++ b/packages/fleet/src/engine-load.ts
@@ -3,7 +3,7 @@
 import type { AttemptUse } from './attempt-use.js';
 import type { BackendServer } from './backend-server.js';
 import { passTimeMs } from './engine-times.js';
-import { streamValue } from './stream-worth.js';
+import { streamValue } from './stream-value.js';
 
 /** The load of one engine at one moment, as far as this process knows. */
 export interface EngineLoad {
--- a/packages/fleet/src/foresee-first.test.ts
+++ b/packages/fleet/src/estimate-first-event.test.ts
@@ -1,8 +1,8 @@
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
 import type { EngineLoad } from './engine-load.js';
-import { estimateFirstEventMs } from './foresee-first.js';
-import { MAX_PARTS, withOverrun } from './weigh-parts.js';
+import { estimateFirstEventMs } from './estimate-first-event.js';
+import { MAX_PARTS, withOverrun } from './evaluate-split.js';
 
 function engine(pendingPrefillMs: number, slackMs: number, passMs: number): EngineLoad {
   return {
--- a/packages/fleet/src/foresee-first.ts
+++ b/packages/fleet/src/estimate-first-event.ts
@@ -1,6 +1,6 @@
 import type { Milliseconds } from '@poppypond/core';
 import type { EngineLoad } from './engine-load.js';
-import { MAX_PARTS, withOverrun } from './weigh-parts.js';
+import { MAX_PARTS, withOverrun } from './evaluate-split.js';
 
 /**
  * Returns the `parts`-th engine, in order of pending prefill, on which a part would delay no writer
--- a/packages/fleet/src/weigh-parts.ts
+++ b/packages/fleet/src/evaluate-split.ts
@@ -1,11 +1,11 @@
 import type { Milliseconds } from '@poppypond/core';
 import type { EngineFigures } from '@poppypond/routing';
 import type { EngineLoad } from './engine-load.js';
-import { interferenceCost, LATE_VALUE_LOSS } from './harm.js';
+import { interferenceCost, LATE_VALUE_LOSS } from './interference.js';
 import { shareMemory } from './share-memory.js';
 import { placement } from './stream-plan.js';
 import type { StreamDemand, StreamPlacement } from './stream-plan.js';
-import { streamValue } from './stream-worth.js';
+import { streamValue } from './stream-value.js';
 
 /** Inputs for placing a long prompt. */
 export interface SplitInputs {
--- a/packages/fleet/src/leaving-lives.test.ts
+++ b/packages/fleet/src/leaving-incarnations.test.ts
@@ -1,7 +1,7 @@
 import { engineServer } from '@poppypond/mocks';
 import { describe, expect, it } from 'vitest';
 import type { BackendServer } from './backend-server.js';
-import { LeavingIncarnations } from './leaving-lives.js';
+import { LeavingIncarnations } from './leaving-incarnations.js';
 
 const SERVER: BackendServer = engineServer('i-1');
 const DRAINING: BackendServer = { ...SERVER, isDraining: true };
--- a/packages/fleet/src/pack-short.ts
+++ b/packages/fleet/src/pack-prompts.ts
@@ -3,7 +3,7 @@
 import type { EngineLoad } from './engine-load.js';
 import { placement } from './stream-plan.js';
 import type { StreamDemand, StreamPlan } from './stream-plan.js';
-import { EARLY_SHARE } from './weigh-parts.js';
+import { EARLY_SHARE } from './evaluate-split.js';
 
 /** Maximum pending prefill behind which a short prompt still starts in time. */
 const MAX_PREFILL_AHEAD_MS: Milliseconds = 60;
--- a/packages/fleet/src/limit-ledger.test.ts
+++ b/packages/fleet/src/permit-buckets.test.ts
@@ -1,8 +1,8 @@
 import { engineServer } from '@poppypond/mocks';
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
-import { PermitBuckets } from './limit-ledger.js';
-import type { LimitPart } from './limit-ledger.js';
+import { PermitBuckets } from './permit-buckets.js';
+import type { LimitPart } from './permit-buckets.js';
 import { ServerLimits } from './server-limits.js';
 
 const SERVER = engineServer('i-1');
--- a/packages/fleet/src/turned-away.test.ts
+++ b/packages/fleet/src/recent-rejections.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest';
-import { RecentRejections } from './turned-away.js';
+import { RecentRejections } from './recent-rejections.js';
 
 describe('RecentRejections', () => {
   it('returns the servers that rejected a request in the last three seconds, each once', () => {
--- a/packages/fleet/src/resting-servers.test.ts
+++ b/packages/fleet/src/server-backoffs.test.ts
@@ -1,7 +1,7 @@
 import { engineServer } from '@poppypond/mocks';
 import fastCheck from 'fast-check';
 import { describe, expect, it } from 'vitest';
-import { MAX_BACKOFF_MS, ServerBackoffs } from './resting-servers.js';
+import { MAX_BACKOFF_MS, ServerBackoffs } from './server-backoffs.js';
 
 const SERVER = engineServer('i-1');
 const noJitter = () => 0;
--- a/packages/fleet/src/read-in-parts.ts
+++ b/packages/fleet/src/split-prefill.ts
@@ -1,14 +1,14 @@
 import type { Milliseconds } from '@poppypond/core';
-import { acceptableInterference } from './accepted-harm.js';
+import { acceptableInterference } from './acceptable-interference.js';
 import { chooseWriter } from './choose-writer.js';
 import type { EngineLoad } from './engine-load.js';
-import { estimateFirstEventMs } from './foresee-first.js';
-import { interferenceCost } from './harm.js';
+import { estimateFirstEventMs } from './estimate-first-event.js';
+import { interferenceCost } from './interference.js';
 import type { LatePromptPolicy, LateDecision } from './late-prompts.js';
-import { enginesForShortPrompts } from './pack-short.js';
+import { enginesForShortPrompts } from './pack-prompts.js';
 import type { StreamPlan } from './stream-plan.js';
-import { findBestSplit, MAX_PARTS } from './weigh-parts.js';
-import type { SplitInputs, EvaluatedSplit } from './weigh-parts.js';
+import { findBestSplit, MAX_PARTS } from './evaluate-split.js';
+import type { SplitInputs, EvaluatedSplit } from './evaluate-split.js';
 
 /**
  * Orders engines by the interference of a part with their writers, then by pending prefill, then by
--- a/packages/gateway/src/completions/app.ts
+++ b/packages/gateway/src/completions/app.ts
@@ -11,7 +11,7 @@
 import { DecisionRecorder } from '../explain/decision-recorder.js';
 import { runGroup } from '../groups/group-run.js';
 import { checkCanFinish, resolveRequest, trafficLabels } from './admit.js';
-import { REQUEST_ID_HEADER, StreamedResponse, BufferedResponse } from './answer.js';
+import { REQUEST_ID_HEADER, StreamedResponse, BufferedResponse } from './completion-response.js';
 import type { AdmittedRequest, CompletionRequest } from './completion-request.js';
 import { CompletionRun } from './completion-run.js';
 import { parseCompletionBody } from './request-body.js';
--- a/packages/gateway/src/completions/completion-run.ts
+++ b/packages/gateway/src/completions/completion-run.ts
@@ -7,8 +7,8 @@
 import type { PlacementOutcome } from '../engines/dispatcher.js';
 import type { DecisionRecorder } from '../explain/decision-recorder.js';
 import type { TerminationDetector } from '../quarantine/host-quarantine.js';
-import type { CompletionResponse } from './answer.js';
-import { CompletionRecorder } from './completion-record.js';
+import type { CompletionResponse } from './completion-response.js';
+import { CompletionRecorder } from './completion-recorder.js';
 import type { AdmittedRequest } from './completion-request.js';
 import type { PlacedEngine, RunContext } from './run-context.js';
 
--- a/packages/gateway/src/context.ts
+++ b/packages/gateway/src/context.ts
@@ -4,11 +4,11 @@
 import type { Dispatcher } from './engines/dispatcher.js';
 import type { EngineDirectory } from './engines/engine-directory.js';
 import type { LaneTuner } from './engines/lane-tuner.js';
-import type { ReservationManager } from './engines/reservation-keeper.js';
-import type { Mutex } from './groups/turns.js';
+import type { ReservationManager } from './engines/reservation-manager.js';
+import type { Mutex } from './groups/mutex.js';
 import type { Lifecycle } from './lifecycle/lifecycle.js';
 import type { ServiceDirectory } from './services/service-directory.js';
-import type { ShareManager } from './shares/share-keeper.js';
+import type { ShareManager } from './shares/share-manager.js';
 import type { GatewaySettings } from './settings.js';
 
 /** Dependencies that the request handlers of one gateway share. */
--- a/packages/gateway/src/groups/group-run.ts
+++ b/packages/gateway/src/groups/group-run.ts
@@ -7,8 +7,8 @@
 import type { CompletionRun } from '../completions/completion-run.js';
 import type { GatewayContext } from '../context.js';
 import type { AvailableEngine } from '../engines/engine-directory.js';
-import { RESERVATION_TTL_MS } from '../engines/reservation-keeper.js';
-import type { EngineReservation } from '../engines/reservation-keeper.js';
+import { RESERVATION_TTL_MS } from '../engines/reservation-manager.js';
+import type { EngineReservation } from '../engines/reservation-manager.js';
 import type { WatchedEngine } from '../engines/watched-engine.js';
 
 const MEMORY_MARGIN = 0.02;
--- a/packages/gateway/src/groups/turns.test.ts
+++ b/packages/gateway/src/groups/mutex.test.ts
@@ -1,6 +1,6 @@
 import { flushPromises } from '@poppypond/mocks';
 import { describe, expect, it } from 'vitest';
-import { Mutex } from './turns.js';
+import { Mutex } from './mutex.js';
 
 describe('Mutex', () => {
   it('is held by one at a time, in order of arrival', async () => {
--- a/packages/gateway/src/services/app.ts
+++ b/packages/gateway/src/services/app.ts
@@ -4,7 +4,7 @@
 import { sendFault } from '@poppypond/web';
 import type { RouteContext, Router } from '@poppypond/web';
 import { Result } from 'true-myth';
-import { REQUEST_ID_HEADER } from '../completions/answer.js';
+import { REQUEST_ID_HEADER } from '../completions/completion-response.js';
 import type { GatewayContext } from '../context.js';
 import { DecisionRecorder } from '../explain/decision-recorder.js';
 import { dispatch, callAtMostOnce } from './dispatch-call.js';
--- a/packages/gateway/src/shares/share-keeper.test.ts
+++ b/packages/gateway/src/shares/share-manager.test.ts
@@ -4,7 +4,7 @@
 import { silentLog } from '@poppypond/telemetry';
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
-import { ShareManager } from './share-keeper.js';
+import { ShareManager } from './share-manager.js';
 
 const HOSTS = 4;
 const BUDGET: AppliedBudget = {
--- a/packages/mocks/src/index.ts
+++ b/packages/mocks/src/index.ts
@@ -3,4 +3,4 @@
 export * from './manual-clock.js';
 export * from './memory-table.js';
 export * from './scheduled-clock.js';
-export * from './fake-objects.js';
+export * from './fake-object-store.js';
--- a/packages/relay/src/backend/held-memory.test.ts
+++ b/packages/relay/src/backend/memory-reservation.test.ts
@@ -2,7 +2,7 @@
 import { silentLog } from '@poppypond/telemetry';
 import { describe, expect, it } from 'vitest';
 import type { EngineMemory } from '../ports.js';
-import { MemoryReservation } from './held-memory.js';
+import { MemoryReservation } from './memory-reservation.js';
 
 /** Reserves memory for a decode engine whose responsiveness the test controls. */
 async function reserveMemory(heldForMs?: number) {
--- a/packages/relay/src/quarantine/run-ends.test.ts
+++ b/packages/relay/src/quarantine/termination-detector.test.ts
@@ -9,8 +9,8 @@
 import type { CallerHead } from '../ports.js';
 import { ServerList } from '../store/server-list.js';
 import { contentOf } from './request-content.js';
-import { TerminationDetector } from './run-ends.js';
-import type { ProbedServer } from './run-ends.js';
+import { TerminationDetector } from './termination-detector.js';
+import type { ProbedServer } from './termination-detector.js';
 import { SharedQuarantine } from './shared-quarantine.js';
 
 const CALLER: CallerHead = {
--- a/packages/relay/src/request/attempt-ends.ts
+++ b/packages/relay/src/request/attempt-outcome-handler.ts
@@ -2,15 +2,15 @@
 import type { AttemptFailure, BackendServer, FollowedRequest } from '@poppypond/fleet';
 import type { AttemptOutcome } from '../backend/server-attempt.js';
 import type { ResponseHead } from '../ports.js';
-import type { TerminationDetector } from '../quarantine/run-ends.js';
+import type { TerminationDetector } from '../quarantine/termination-detector.js';
 import type { AttemptHistory } from './attempt-history.js';
 import type { CallerResponse } from './caller-response.js';
 import { findPrefillEngine } from './choice.js';
 import type { Choice } from './choice.js';
-import { firstEventTimeoutMs } from './patience.js';
+import { firstEventTimeoutMs } from './silence-timeouts.js';
 import type { RelayParts } from './relay-parts.js';
 import type { RequestTelemetry } from './request-telemetry.js';
-import type { FinalResponse } from './run-answer.js';
+import type { FinalResponse } from './final-response.js';
 
 const MIN_SERVER_ERROR_STATUS = 500;
 /** A 500 of an engine means that the engine failed; a plain service may return it for an application error. */
--- a/packages/relay/src/request/attempt-watch.ts
+++ b/packages/relay/src/request/attempt-watch.ts
@@ -4,7 +4,7 @@
 import type { EngineMemory } from '../ports.js';
 import type { ServerList } from '../store/server-list.js';
 import type { Choice } from './choice.js';
-import { PrefillWatch } from './read-watch.js';
+import { PrefillWatch } from './prefill-watch.js';
 import { SilenceWatch } from './silence-watch.js';
 
 /** Dependencies of `AttemptWatch`. */
--- a/packages/relay/src/request/choice.ts
+++ b/packages/relay/src/request/choice.ts
@@ -1,6 +1,6 @@
 import type { Milliseconds } from '@poppypond/core';
 import type { BackendServer } from '@poppypond/fleet';
-import type { MemoryReservation } from '../backend/held-memory.js';
+import type { MemoryReservation } from '../backend/memory-reservation.js';
 import type { SendPermit } from '../notices/permit-client.js';
 import type { PlannedStream, PlanRequest } from '../planning/plan-request.js';
 import type { CallerHead, PrefillEngineAddress } from '../ports.js';
--- a/packages/relay/src/request/choose-engines.ts
+++ b/packages/relay/src/request/choose-engines.ts
@@ -2,7 +2,7 @@
 import type { Milliseconds } from '@poppypond/core';
 import type { BackendServer } from '@poppypond/fleet';
 import type { Route } from '@poppypond/routing';
-import { MemoryReservation } from '../backend/held-memory.js';
+import { MemoryReservation } from '../backend/memory-reservation.js';
 import type { PlannedStream, PlanRequest } from '../planning/plan-request.js';
 import type { PlacementOutcome } from '../planning/placement-client.js';
 import { deprioritizedIds } from './choice.js';
--- a/packages/relay/src/request/run-answer.ts
+++ b/packages/relay/src/request/final-response.ts
@@ -1,7 +1,7 @@
 import { fault } from '@poppypond/core';
 import type { Fault, Milliseconds, ResultName } from '@poppypond/core';
 import type { ResponseHead } from '../ports.js';
-import type { ResponseEvents } from './answer-events.js';
+import type { ResponseEvents } from './response-events.js';
 import type { AttemptHistory } from './attempt-history.js';
 import type { CallerResponse } from './caller-response.js';
 import type { RequestTelemetry } from './request-telemetry.js';
--- a/packages/relay/src/request/read-watch.test.ts
+++ b/packages/relay/src/request/prefill-watch.test.ts
@@ -1,7 +1,7 @@
 import type { BackendServer } from '@poppypond/fleet';
 import { engineServer, ManualClock } from '@poppypond/mocks';
 import { describe, expect, it } from 'vitest';
-import { PrefillWatch } from './read-watch.js';
+import { PrefillWatch } from './prefill-watch.js';
 
 /** A watch of three engines; those in `unresponsive` do not answer. */
 function createWatch() {
--- a/packages/relay/src/request/relay-run.ts
+++ b/packages/relay/src/request/request-execution.ts
@@ -9,12 +9,12 @@
 import { DEADLINE_SLACK_MS } from '../planning/planned-use.js';
 import type { ResponseHead, CallerHead } from '../ports.js';
 import { contentOf } from '../quarantine/request-content.js';
-import { TerminationDetector } from '../quarantine/run-ends.js';
+import { TerminationDetector } from '../quarantine/termination-detector.js';
 import { describeTerminations } from '../quarantine/shared-quarantine.js';
 import type { AdmittedRequest } from './admit.js';
-import { ResponseEvents } from './answer-events.js';
+import { ResponseEvents } from './response-events.js';
 import { AttemptHistory } from './attempt-history.js';
-import { AttemptOutcomeHandler } from './attempt-ends.js';
+import { AttemptOutcomeHandler } from './attempt-outcome-handler.js';
 import { useOf } from './attempt-use.js';
 import { AttemptWatch } from './attempt-watch.js';
 import type { CallerResponse } from './caller-response.js';
@@ -23,7 +23,7 @@
 import { chooseServer } from './choose-server.js';
 import type { RelayParts } from './relay-parts.js';
 import { RequestTelemetry } from './request-telemetry.js';
-import { FinalResponse } from './run-answer.js';
+import { FinalResponse } from './final-response.js';
 
 /** State of the current attempt. */
 interface RunningAttempt {
--- a/packages/relay/src/request/request-handler.ts
+++ b/packages/relay/src/request/request-handler.ts
@@ -4,8 +4,8 @@
 import { admit } from './admit.js';
 import type { CallerResponse } from './caller-response.js';
 import type { RelayParts } from './relay-parts.js';
-import { RequestExecution } from './relay-run.js';
-import { StartupGrace } from './start-hold.js';
+import { RequestExecution } from './request-execution.js';
+import { StartupGrace } from './startup-grace.js';
 
 /** Admits or refuses requests, executes admitted ones and counts the open ones. */
 export class RequestHandler {
--- a/packages/relay/src/request/request-telemetry.ts
+++ b/packages/relay/src/request/request-telemetry.ts
@@ -3,7 +3,7 @@
 import type { AttemptFailure, BackendServer, RetryDecision } from '@poppypond/fleet';
 import type { BlockReason } from '../notices/send-gate.js';
 import type { CallerHead } from '../ports.js';
-import type { ProbedServer } from '../quarantine/run-ends.js';
+import type { ProbedServer } from '../quarantine/termination-detector.js';
 import type { AdmittedRequest } from './admit.js';
 import type { StreamPlan } from './choice.js';
 import type { RelayParts } from './relay-parts.js';
--- a/packages/relay/src/request/patience.test.ts
+++ b/packages/relay/src/request/silence-timeouts.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest';
 import type { PlannedStream } from '../planning/plan-request.js';
-import { busyTimeoutMs, firstEventTimeoutMs } from './patience.js';
+import { busyTimeoutMs, firstEventTimeoutMs } from './silence-timeouts.js';
 
 const ROUTE = {
   name: 'r',
--- a/packages/relay/src/request/silence-watch.ts
+++ b/packages/relay/src/request/silence-watch.ts
@@ -2,7 +2,7 @@
 import type { BackendServer } from '@poppypond/fleet';
 import type { Route } from '@poppypond/routing';
 import type { Choice } from './choice.js';
-import { busyTimeoutMs, firstEventTimeoutMs, stallTimeoutMs } from './patience.js';
+import { busyTimeoutMs, firstEventTimeoutMs, stallTimeoutMs } from './silence-timeouts.js';
 
 /** Dependencies of `SilenceWatch`. */
 export interface SilenceWatchParts {
--- a/packages/relay/src/request/start-hold.test.ts
+++ b/packages/relay/src/request/startup-grace.test.ts
@@ -3,7 +3,7 @@
 import { ManualClock } from '@poppypond/mocks';
 import { Result } from 'true-myth';
 import { describe, expect, it } from 'vitest';
-import { StartupGrace } from './start-hold.js';
+import { StartupGrace } from './startup-grace.js';
 
 function refused(code: 'not_ready' | 'unknown_route'): Result<string, Fault> {
   return Result.err(fault(code, 'why'));
--- a/packages/standin/src/engine/app.ts
+++ b/packages/standin/src/engine/app.ts
@@ -7,8 +7,8 @@
 import { engineFaultsSchema } from './faults.js';
 import { parseGenerateCall } from './generate-call.js';
 import type { EngineModelSettings } from './model-settings.js';
-import { fencedCommandSchema } from './orders.js';
-import type { FencedCommand } from './orders.js';
+import { fencedCommandSchema } from './fenced-commands.js';
+import type { FencedCommand } from './fenced-commands.js';
 
 const MAX_BODY_BYTES = 64_000_000;
 const BODY_TIMEOUT_MS = 30_000;
--- a/packages/standin/src/engine/engine.ts
+++ b/packages/standin/src/engine/engine.ts
@@ -12,7 +12,7 @@
 import { KvMemory } from './kv-memory.js';
 import type { Reservation } from './kv-memory.js';
 import type { EngineModelSettings } from './model-settings.js';
-import { CommandGate } from './orders.js';
+import { CommandGate } from './fenced-commands.js';
 import { EngineFeeds } from './feeds.js';
 import { FrameWriter } from './frame-writer.js';
 
--- a/packages/standin/src/platform/app.ts
+++ b/packages/standin/src/platform/app.ts
@@ -6,7 +6,7 @@
 import { z } from 'zod';
 import { noPlatformFaults, platformFaultsSchema } from './faults.js';
 import type { PlatformFaults } from './faults.js';
-import { RateLimiter } from './rate.js';
+import { RateLimiter } from './rate-limiter.js';
 import { Table, transactionSchema } from './table.js';
 import type { Transaction } from './table.js';
 
--- a/packages/telemetry/src/measures.test.ts
+++ b/packages/telemetry/src/prometheus-metrics.test.ts
@@ -1,6 +1,6 @@
 import { readdirSync, readFileSync } from 'node:fs';
 import { describe, expect, it } from 'vitest';
-import { PrometheusMetrics, PROMETHEUS_METRICS } from './measures.js';
+import { PrometheusMetrics, PROMETHEUS_METRICS } from './prometheus-metrics.js';
 
 function readRelaySources(): string {
   const folder = new URL('../../relay/src/', import.meta.url);
--- a/packages/web/src/router.ts
+++ b/packages/web/src/router.ts
@@ -1,6 +1,6 @@
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { fault } from '@poppypond/core';
-import { sendFault } from './reply.js';
+import { sendFault } from './response.js';
 
 /** A request that matched a route. */
 export interface RouteContext {
--- a/packages/web/src/server-state.test.ts
+++ b/packages/web/src/server-probe.test.ts
@@ -1,7 +1,7 @@
 import { SystemClock } from '@poppypond/core';
 import { createServer } from 'node:net';
 import { describe, expect, it } from 'vitest';
-import { probeServer } from './server-state.js';
+import { probeServer } from './server-probe.js';
 
 describe('probeServer', () => {
   it('distinguishes a process that listens, even if it resets connections, from one that has ended', async () => {
