--- a/packages/measure/src/capacity.ts
+++ b/packages/measure/src/capacity.ts
@@ -2,18 +2,18 @@
 import { callStream, makePrompt, SAMPLE_MODEL, sampleKey } from '@poppypond/load';
 import type { SampleObject } from '@poppypond/load';
 import { Configuration, parseObjects } from '@poppypond/objects';
-import { makeSlope, measureSlope } from './capacity/slope.js';
+import { fitSlope, measureSlope } from './capacity/slope.js';
 import type { Slope } from './capacity/slope.js';
-import { idle, watchGateway } from './capacity/gateway-probe.js';
-import type { GatewaySpending } from './capacity/gateway-probe.js';
+import { idleFor, measureGatewayUsage } from './capacity/gateway-probe.js';
+import type { GatewayUsage } from './capacity/gateway-probe.js';
 import { LightEngines } from './capacity/light-engines.js';
 import { LightPeers } from './capacity/light-peers.js';
-import { slopeChart } from './capacity/slope-chart.js';
+import { renderSlopeChart } from './capacity/slope-chart.js';
 import { timeDecisions } from './decision-cost.js';
 import { median, print, writeReport } from './report.js';
 
 const SETTLE_MS = 3000;
-const WATCH_MS = 6000;
+const MEASURE_MS = 6000;
 const ENGINE_COUNTS = [8, 32, 64, 128];
 const PEER_COUNTS = [2, 6, 12, 24];
 const RATES = [50, 100, 200, 300];
@@ -22,16 +22,16 @@
 const OBJECT_COUNTS = [250, 500, 1000, 2000];
 const REPLICA_COUNTS = [90, 180, 360, 720];
 const MS_PER_SECOND = 1000;
-const RATE_FOR_TOKENS = 100;
-const ADVANCE_TRIES = 200;
+const TOKEN_TEST_RATE = 100;
+const ADVANCE_RUNS = 200;
 const FAST_ENGINE = { 'step-base-ms': 2, 'prefill-ms': 0.001, 'decode-ms': 0, 'max-running': 2000 };
 const FAST_GATEWAY = { 'prefill-tokens-per-ms': 500, 'decode-step-ms': 3 };
 
 /** Spending of an idle gateway that watches this many engines. */
-async function watchEngines(count: number): Promise<GatewaySpending> {
-  const light = new LightEngines();
-  await light.start(count);
-  const objects = light.servers.map((server, index): SampleObject => ({
+async function measureWithEngines(count: number): Promise<GatewayUsage> {
+  const lightEngines = new LightEngines();
+  await lightEngines.start(count);
+  const objects = lightEngines.servers.map((server, index): SampleObject => ({
     kind: 'backend-server',
     name: `light-${String(index)}`,
     labels: { fleet: 'assistant', kind: 'engine' },
@@ -40,35 +40,35 @@
   const gatewayFlags = { 'max-engines-watched': 1000 };
   const fleet = await Fleet.start({ gateways: 1, engines: 0, services: 0, gatewayFlags, objects });
   try {
-    await idle(SETTLE_MS)();
-    return await watchGateway(fleet.gateways[0]?.url ?? '', idle(WATCH_MS));
+    await idleFor(SETTLE_MS)();
+    return await measureGatewayUsage(fleet.gateways[0]?.url ?? '', idleFor(MEASURE_MS));
   } finally {
     await fleet.stop();
-    await light.stop();
+    await lightEngines.stop();
   }
 }
 
 /** Spending of an idle gateway with this many links to peers. */
-async function watchPeers(count: number): Promise<GatewaySpending> {
+async function measureWithPeers(count: number): Promise<GatewayUsage> {
   const gatewayFlags = { 'fan-out': 100 };
   const fleet = await Fleet.start({ gateways: 1, engines: 0, services: 0, gatewayFlags });
   const gateway = fleet.gateways[0];
-  const light = new LightPeers();
+  const lightPeers = new LightPeers();
   try {
-    await light.start(count, gateway?.listening.get('peers') ?? '', 2);
-    await idle(SETTLE_MS)();
-    return await watchGateway(gateway?.url ?? '', idle(WATCH_MS));
+    await lightPeers.start(count, gateway?.listening.get('peers') ?? '', 2);
+    await idleFor(SETTLE_MS)();
+    return await measureGatewayUsage(gateway?.url ?? '', idleFor(MEASURE_MS));
   } finally {
-    await light.stop();
+    await lightPeers.stop();
     await fleet.stop();
   }
 }
 
-async function sendSteadily(url: string, rate: number, tokens: number): Promise<void> {
-  const count = Math.floor((rate * WATCH_MS) / MS_PER_SECOND);
+async function sendAtRate(url: string, rate: number, tokens: number): Promise<void> {
+  const count = Math.floor((rate * MEASURE_MS) / MS_PER_SECOND);
   await Promise.all(
     Array.from({ length: count }, async (_, index) => {
-      await idle((index / rate) * MS_PER_SECOND)();
+      await idleFor((index / rate) * MS_PER_SECOND)();
       const prompt = makePrompt(
         `capacity ${String(rate)} ${String(tokens)} ${String(index)} `,
         1000,
@@ -80,7 +80,7 @@
 }
 
 /** Percent of a core at each rate and at each answer length, on one gateway. */
-async function measureRequests(): Promise<readonly Slope[]> {
+async function measureRequestSlopes(): Promise<readonly Slope[]> {
   const fleet = await Fleet.start({
     gateways: 1,
     engines: 4,
@@ -90,10 +90,10 @@
   });
   const url = fleet.gateways[0]?.url ?? '';
   try {
-    await sendSteadily(url, RATE_FOR_TOKENS, 8);
-    const core = async (rate: number, tokens: number) => {
-      const spending = await watchGateway(url, () => sendSteadily(url, rate, tokens));
-      return spending.corePercent;
+    await sendAtRate(url, TOKEN_TEST_RATE, 8);
+    const corePercentAt = async (rate: number, tokens: number) => {
+      const usage = await measureGatewayUsage(url, () => sendAtRate(url, rate, tokens));
+      return usage.corePercent;
     };
     return [
       await measureSlope(
@@ -101,14 +101,14 @@
         'request a second',
         '% of a core',
         RATES,
-        (rate) => core(rate, 8),
+        (rate) => corePercentAt(rate, 8),
       ),
       await measureSlope(
         'processor by answer length (100 requests a second)',
         'token in each answer',
         '% of a core',
         TOKEN_COUNTS,
-        (tokens) => core(RATE_FOR_TOKENS, tokens),
+        (tokens) => corePercentAt(TOKEN_TEST_RATE, tokens),
       ),
     ];
   } finally {
@@ -117,7 +117,7 @@
 }
 
 /** Resident memory of a gateway with this many streams open at once. */
-async function measureStreams(): Promise<Slope> {
+async function measureStreamSlope(): Promise<Slope> {
   const fleet = await Fleet.start({
     gateways: 1,
     engines: 4,
@@ -134,7 +134,7 @@
       STREAM_COUNTS,
       async (count) => {
         const abort = new AbortController();
-        const open = Array.from({ length: count }, (_, index) => {
+        const openStreams = Array.from({ length: count }, (_, index) => {
           const prompt = makePrompt(`open ${String(count)} ${String(index)} `, 1000);
           const call = {
             url,
@@ -145,11 +145,11 @@
           };
           return callStream({ ...call, timeLimitMs: 100_000, signal: abort.signal });
         });
-        await idle(SETTLE_MS)();
-        const spending = await watchGateway(url, idle(MS_PER_SECOND));
+        await idleFor(SETTLE_MS)();
+        const usage = await measureGatewayUsage(url, idleFor(MS_PER_SECOND));
         abort.abort();
-        await Promise.all(open);
-        return spending.rssMb;
+        await Promise.all(openStreams);
+        return usage.rssMb;
       },
     );
   } finally {
@@ -171,11 +171,11 @@
 }
 
 /** Milliseconds that a gateway's loop is held by one change, by the number of objects. */
-function timeChange(count: number): number {
+function medianChangeMs(count: number): number {
   const configuration = sampleConfiguration(count);
   const stored = configuration.objects.get('key/key-1');
   if (!stored) return Number.NaN;
-  const times = Array.from({ length: ADVANCE_TRIES }, () => {
+  const times = Array.from({ length: ADVANCE_RUNS }, () => {
     const startedAt = performance.now();
     configuration.advance([{ id: 'key/key-1', revision: count + 1, after: stored.object }]);
     return performance.now() - startedAt;
@@ -183,25 +183,25 @@
   return median(times);
 }
 
-async function measureWatching(): Promise<readonly Slope[]> {
-  const spent = new Map<number, GatewaySpending>();
-  for (const count of ENGINE_COUNTS) spent.set(count, await watchEngines(count));
-  const points = (value: (spending: GatewaySpending) => number) =>
-    [...spent].map(([size, spending]) => ({ size, value: value(spending) }));
+async function measureEngineSlopes(): Promise<readonly Slope[]> {
+  const usageByCount = new Map<number, GatewayUsage>();
+  for (const count of ENGINE_COUNTS) usageByCount.set(count, await measureWithEngines(count));
+  const points = (value: (usage: GatewayUsage) => number) =>
+    [...usageByCount].map(([size, usage]) => ({ size, value: value(usage) }));
   return [
-    makeSlope(
+    fitSlope(
       'processor by engines watched (10 reports a second each)',
       'engine',
       '% of a core',
       points(({ corePercent }) => corePercent),
     ),
-    makeSlope(
+    fitSlope(
       'memory by engines watched',
       'engine',
       'MB',
       points(({ rssMb }) => rssMb),
     ),
-    makeSlope(
+    fitSlope(
       'table and object store reads by engines watched',
       'engine',
       'reads/s',
@@ -210,19 +210,19 @@
   ];
 }
 
-async function measurePeers(): Promise<readonly Slope[]> {
-  const spent = new Map<number, GatewaySpending>();
-  for (const count of PEER_COUNTS) spent.set(count, await watchPeers(count));
-  const points = (value: (spending: GatewaySpending) => number) =>
-    [...spent].map(([size, spending]) => ({ size, value: value(spending) }));
+async function measurePeerSlopes(): Promise<readonly Slope[]> {
+  const usageByCount = new Map<number, GatewayUsage>();
+  for (const count of PEER_COUNTS) usageByCount.set(count, await measureWithPeers(count));
+  const points = (value: (usage: GatewayUsage) => number) =>
+    [...usageByCount].map(([size, usage]) => ({ size, value: value(usage) }));
   return [
-    makeSlope(
+    fitSlope(
       'processor by peer links',
       'link',
       '% of a core',
       points(({ corePercent }) => corePercent),
     ),
-    makeSlope(
+    fitSlope(
       'peer bytes by peer links (both ways)',
       'link',
       'bytes/s',
@@ -239,13 +239,13 @@
     await measureSlope('one placement decision', 'replica', 'us', REPLICA_COUNTS, (count) =>
       median(timeDecisions(count)),
     ),
-    await measureSlope('one configuration change', 'object', 'ms', OBJECT_COUNTS, timeChange),
-    ...(await measureWatching()),
-    ...(await measurePeers()),
-    ...(await measureRequests()),
-    await measureStreams(),
+    await measureSlope('one configuration change', 'object', 'ms', OBJECT_COUNTS, medianChangeMs),
+    ...(await measureEngineSlopes()),
+    ...(await measurePeerSlopes()),
+    ...(await measureRequestSlopes()),
+    await measureStreamSlope(),
   ];
-  writeReport('out/capacity.svg', slopeChart(slopes));
+  writeReport('out/capacity.svg', renderSlopeChart(slopes));
   if (options.json !== undefined) writeReport(options.json, JSON.stringify(slopes, undefined, 2));
   print(`${String(slopes.length)} slopes measured; plot in out/capacity.svg`);
 }
--- a/packages/measure/src/capacity/fit.ts
+++ b/packages/measure/src/capacity/fit.ts
@@ -24,9 +24,9 @@
   }
   const slope = variance === 0 ? 0 : covariance / variance;
   const intercept = meanValue - slope * meanSize;
-  const squares = points.reduce(
+  const squaredErrors = points.reduce(
     (sum, { size, value }) => sum + (value - intercept - slope * size) ** 2,
     0,
   );
-  return { slope, intercept, error: Math.sqrt(squares / count) };
+  return { slope, intercept, error: Math.sqrt(squaredErrors / count) };
 }
--- a/packages/measure/src/capacity/gateway-probe.ts
+++ b/packages/measure/src/capacity/gateway-probe.ts
@@ -8,7 +8,7 @@
 });
 
 /** What a gateway spent in a time. */
-export interface GatewaySpending {
+export interface GatewayUsage {
   readonly seconds: number;
   /** Share of one core, in percent. */
   readonly corePercent: number;
@@ -23,10 +23,10 @@
 const MICROSECONDS_PER_PERCENT = 1e4;
 
 /** Watches one gateway while `during` runs. */
-export async function watchGateway(
+export async function measureGatewayUsage(
   url: string,
   during: () => Promise<unknown>,
-): Promise<GatewaySpending> {
+): Promise<GatewayUsage> {
   const before = statusSchema.parse(await getJson(`${url}/status`));
   const startedAt = performance.now();
   await during();
@@ -49,6 +49,6 @@
 }
 
 /** Waits on the wall clock while something is watched. */
-export function idle(milliseconds: number): () => Promise<void> {
+export function idleFor(milliseconds: number): () => Promise<void> {
   return () => new Promise((resolve) => setTimeout(resolve, milliseconds));
 }
--- a/packages/measure/src/capacity/slope.ts
+++ b/packages/measure/src/capacity/slope.ts
@@ -21,21 +21,21 @@
 ): Promise<Slope> {
   const points: Point[] = [];
   for (const size of sizes) points.push({ size, value: await valueAt(size) });
-  return makeSlope(name, perWhat, unit, points);
+  return fitSlope(name, perWhat, unit, points);
 }
 
 /** Fits a line through points that are already measured, and prints it. */
-export function makeSlope(
+export function fitSlope(
   name: string,
   perWhat: string,
   unit: string,
   points: readonly Point[],
 ): Slope {
   const fit = fitLine(points);
-  const shown = points.map(({ size, value }) => `${String(size)}: ${value.toPrecision(4)}`);
+  const pointTexts = points.map(({ size, value }) => `${String(size)}: ${value.toPrecision(4)}`);
   print(
     `${name}: ${fit.slope.toPrecision(3)} ${unit} per ${perWhat}, ` +
-      `${fit.intercept.toPrecision(3)} at none, error ${fit.error.toPrecision(2)} (${shown.join(', ')})`,
+      `${fit.intercept.toPrecision(3)} at none, error ${fit.error.toPrecision(2)} (${pointTexts.join(', ')})`,
   );
   return { name, perWhat, unit, points, fit };
 }
--- a/packages/measure/src/configuration.ts
+++ b/packages/measure/src/configuration.ts
@@ -12,53 +12,53 @@
 }
 
 const OPERATORS = 3;
-const WATCH_MS = 10;
-const LONGEST_WAIT_MS = 15_000;
+const POLL_MS = 10;
+const MAX_WAIT_MS = 15_000;
 const MS_PER_SECOND = 1000;
 /** One gateway is ended and replaced, and the store is down for a while, this often. */
-const FAULT_EVERY = 40;
+const CHANGES_PER_FAULT = 40;
 const OUTAGE_MS = 500;
 
 const revisionSchema = z.object({ revision: z.number() });
 const tableSchema = z.object({ reads: z.number(), writes: z.number() });
 
-function pause(milliseconds: number): Promise<void> {
+function sleep(milliseconds: number): Promise<void> {
   return new Promise((resolve) => setTimeout(resolve, milliseconds));
 }
 
 /** Time until each of these gateways has the revision in force. */
-async function timeInForce(
+async function measureActivationMs(
   gateways: readonly RunningProgram[],
   revision: number,
   acceptedAt: number,
 ): Promise<readonly number[]> {
   return Promise.all(
     gateways.map(async (gateway) => {
-      while (performance.now() - acceptedAt < LONGEST_WAIT_MS) {
+      while (performance.now() - acceptedAt < MAX_WAIT_MS) {
         const status = revisionSchema.safeParse(await getJson(`${gateway.url}/status`));
         if (status.success && status.data.revision >= revision) break;
         if (gateway.hasExited) return 0;
-        await pause(WATCH_MS);
+        await sleep(POLL_MS);
       }
       return performance.now() - acceptedAt;
     }),
   );
 }
 
-async function disturb(fleet: Fleet, next: () => number): Promise<void> {
-  const gateway = fleet.gateways[Math.floor(next() * fleet.gateways.length)];
+async function injectFaults(fleet: Fleet, random: () => number): Promise<void> {
+  const gateway = fleet.gateways[Math.floor(random() * fleet.gateways.length)];
   if (gateway) {
     await gateway.kill();
     await fleet.replaceGateway(gateway);
   }
   await setFaults(fleet.platform.url, { down: true });
-  await pause(OUTAGE_MS);
+  await sleep(OUTAGE_MS);
   await setFaults(fleet.platform.url, { down: false });
 }
 
 /** Measures the time from acceptance of a change until every gateway has it in force. */
 export async function measureConfiguration(options: ConfigurationOptions): Promise<void> {
-  const next = seededRandom(options.seed);
+  const random = seededRandom(options.seed);
   const fleet = await Fleet.start({
     gateways: options.gateways,
     engines: 1,
@@ -66,45 +66,51 @@
     gatewayFlags: { 'config-poll-ms': 1000 },
   });
   try {
-    const times: number[] = [];
+    const activationMs: number[] = [];
     let accepted = 0;
     let refused = 0;
-    let disturbances = 0;
+    let faultRounds = 0;
     const before = tableSchema.parse(await getJson(`${fleet.platform.url}/truth`));
     const startedAt = performance.now();
-    const operate = async () => {
+    const applyChanges = async () => {
       while (accepted < options.changes) {
-        const spec = { weight: 1 + Math.floor(next() * 50) };
+        const spec = { weight: 1 + Math.floor(random() * 50) };
         const object = { kind: 'workspace', name: 'audit', labels: { team: 'assistant' }, spec };
         const revision = await fleet.apply([object], 'measured').catch(() => undefined);
         if (revision === undefined) {
           refused += 1;
-          await pause(WATCH_MS);
+          await sleep(POLL_MS);
           continue;
         }
         accepted += 1;
-        times.push(...(await timeInForce([...fleet.gateways], revision, performance.now())));
+        activationMs.push(
+          ...(await measureActivationMs([...fleet.gateways], revision, performance.now())),
+        );
       }
     };
-    const disturbing = async () => {
+    const injectFaultsPeriodically = async () => {
       while (accepted < options.changes) {
-        if (accepted / FAULT_EVERY > disturbances + 1) {
-          disturbances += 1;
-          await disturb(fleet, next);
+        if (accepted / CHANGES_PER_FAULT > faultRounds + 1) {
+          faultRounds += 1;
+          await injectFaults(fleet, random);
         }
-        await pause(WATCH_MS);
+        await sleep(POLL_MS);
       }
     };
-    await Promise.all([...Array.from({ length: OPERATORS }, operate), disturbing()]);
+    await Promise.all([
+      ...Array.from({ length: OPERATORS }, applyChanges),
+      injectFaultsPeriodically(),
+    ]);
     const seconds = (performance.now() - startedAt) / MS_PER_SECOND;
     const after = tableSchema.parse(await getJson(`${fleet.platform.url}/truth`));
-    times.sort((a, b) => a - b);
-    const at = (part: number) => (times[Math.floor((times.length - 1) * part)] ?? 0).toFixed(0);
+    activationMs.sort((a, b) => a - b);
+    const formatPercentile = (fraction: number) =>
+      (activationMs[Math.floor((activationMs.length - 1) * fraction)] ?? 0).toFixed(0);
     print(
-      `${String(accepted)} changes accepted and ${String(refused)} refused by races and outages, ${String(OPERATORS)} operators on one object, ${String(disturbances)} kills and outages, ${String(options.gateways)} gateways`,
+      `${String(accepted)} changes accepted and ${String(refused)} refused by races and outages, ${String(OPERATORS)} operators on one object, ${String(faultRounds)} kills and outages, ${String(options.gateways)} gateways`,
     );
     print(
-      `in force after: p50 ${at(0.5)} ms, p99 ${at(0.99)} ms, longest ${at(1)} ms (target p99 2000)`,
+      `in force after: p50 ${formatPercentile(0.5)} ms, p99 ${formatPercentile(0.99)} ms, longest ${formatPercentile(1)} ms (target p99 2000)`,
     );
     print(
       `platform: ${((after.reads - before.reads) / seconds).toFixed(1)} reads and ${((after.writes - before.writes) / seconds).toFixed(1)} writes a second over ${seconds.toFixed(0)} s; ${((after.writes - before.writes) / accepted).toFixed(1)} writes for each change`,
--- a/packages/measure/src/decision-cost.ts
+++ b/packages/measure/src/decision-cost.ts
@@ -3,21 +3,21 @@
 import type { EngineState, PlacementJob } from '@poppypond/policy';
 import { median, print } from './report.js';
 
-const REPLICAS = [20, 90, 360, 720];
-const DECISIONS = 20_000;
-const WARM_UP = 5000;
-const MICROSECONDS = 1000;
+const REPLICA_COUNTS = [20, 90, 360, 720];
+const MEASURED_DECISIONS = 20_000;
+const WARM_UP_DECISIONS = 5000;
+const MICROSECONDS_PER_MS = 1000;
 const TARGET_MICROSECONDS = 50;
 
-function engines(count: number, next: () => number): readonly EngineState[] {
+function engines(count: number, random: () => number): readonly EngineState[] {
   return Array.from({ length: count }, (_, index) => {
-    const prefill = Math.floor(next() * 40_000);
+    const prefill = Math.floor(random() * 40_000);
     return {
       id: `engine-${String(index)}`,
       zone: `zone-${String(index % 5)}`,
       kvTokens: 400_000,
-      heldTokens: Math.floor(next() * 390_000),
-      running: Math.floor(next() * 50),
+      heldTokens: Math.floor(random() * 390_000),
+      running: Math.floor(random() * 50),
       decoding: 0,
       prefillByPriority: [0, 0, 0, prefill / 2, 0, prefill / 2, 0, 0, 0, 0],
       prefillTokens: prefill,
@@ -29,8 +29,8 @@
   });
 }
 
-function job(next: () => number): PlacementJob {
-  const isLong = next() < 0.1;
+function makeJob(random: () => number): PlacementJob {
+  const isLong = random() < 0.1;
   return {
     promptTokens: isLong ? 200_000 : 1500,
     outputTokens: 200,
@@ -43,24 +43,24 @@
 
 /** Microseconds of each decision over this many replicas. */
 export function timeDecisions(replicas: number): readonly number[] {
-  const next = seededRandom(replicas);
-  const states = engines(replicas, next);
+  const random = seededRandom(replicas);
+  const states = engines(replicas, random);
   const split = { cutOffTokens: 10_000, shortShare: 0.3 };
   const placement = new PredictedStartPlacement(DEFAULT_PREDICTED_START, split);
   const times: number[] = [];
-  for (let decision = 0; decision < DECISIONS + WARM_UP; decision += 1) {
-    const asked = job(next);
+  for (let decision = 0; decision < MEASURED_DECISIONS + WARM_UP_DECISIONS; decision += 1) {
+    const job = makeJob(random);
     const startedAt = performance.now();
-    placement.choose(asked, states, { next });
-    const took = (performance.now() - startedAt) * MICROSECONDS;
-    if (decision >= WARM_UP) times.push(took);
+    placement.choose(job, states, { next: random });
+    const tookMicroseconds = (performance.now() - startedAt) * MICROSECONDS_PER_MS;
+    if (decision >= WARM_UP_DECISIONS) times.push(tookMicroseconds);
   }
   return times;
 }
 
 /** Prints what one decision costs at several sizes. */
 export function measureDecisionCost(): void {
-  for (const replicas of REPLICAS) {
+  for (const replicas of REPLICA_COUNTS) {
     const times = [...timeDecisions(replicas)].sort((a, b) => a - b);
     const p99 = times[Math.floor(times.length * 0.99)] ?? 0;
     const verdict = median(times) <= TARGET_MICROSECONDS ? 'within' : 'over';
--- a/packages/measure/src/limits.ts
+++ b/packages/measure/src/limits.ts
@@ -14,27 +14,30 @@
 const PROMPT_TOKENS = 900;
 const MAX_TOKENS = 4;
 /** Prompt tokens and five times the output. */
-const UNITS = PROMPT_TOKENS + 5 * MAX_TOKENS;
+const UNITS_PER_REQUEST = PROMPT_TOKENS + 5 * MAX_TOKENS;
 const OFFERED_FACTOR = 3;
 const MS_PER_SECOND = 1000;
-const TRANSITION_MS = 3000;
+const REBALANCE_MS = 3000;
 
 const tableSchema = z.object({ reads: z.number(), writes: z.number() });
 
-interface Spent {
+interface OfferedRequest {
   readonly atMs: number;
   readonly isOk: boolean;
 }
 
 /** Offers three times the limit through the gateways that `choose` names. */
-async function offer(urls: readonly string[], durationMs: number): Promise<readonly Spent[]> {
-  const rate = (UNITS_PER_SECOND / UNITS) * OFFERED_FACTOR;
+async function offerLoad(
+  urls: readonly string[],
+  durationMs: number,
+): Promise<readonly OfferedRequest[]> {
+  const rate = (UNITS_PER_SECOND / UNITS_PER_REQUEST) * OFFERED_FACTOR;
   const count = Math.floor((rate * durationMs) / MS_PER_SECOND);
   const startedAt = performance.now();
   const sending = Array.from(
     { length: count },
     (_, index) =>
-      new Promise<Spent>((resolve) => {
+      new Promise<OfferedRequest>((resolve) => {
         const atMs = (index / rate) * MS_PER_SECOND;
         setTimeout(() => {
           const prompt = makePrompt(`limit ${String(startedAt)} ${String(index)} `, PROMPT_TOKENS);
@@ -50,9 +53,13 @@
   return Promise.all(sending);
 }
 
-function spentRate(spent: readonly Spent[], fromMs: number, toMs: number): number {
-  const ok = spent.filter(({ atMs, isOk }) => isOk && atMs >= fromMs && atMs < toMs).length;
-  return (ok * UNITS * MS_PER_SECOND) / (toMs - fromMs);
+function spentUnitsPerSecond(
+  sent: readonly OfferedRequest[],
+  fromMs: number,
+  toMs: number,
+): number {
+  const ok = sent.filter(({ atMs, isOk }) => isOk && atMs >= fromMs && atMs < toMs).length;
+  return (ok * UNITS_PER_REQUEST * MS_PER_SECOND) / (toMs - fromMs);
 }
 
 /** Measures how much of a limit is usable when one host gets all of a workspace's traffic. */
@@ -70,23 +77,24 @@
   });
   try {
     const urls = fleet.gateways.map((gateway) => gateway.url);
-    const even = await offer(urls, options.durationMs);
-    const evenRate = spentRate(even, TRANSITION_MS, options.durationMs);
+    const evenlySent = await offerLoad(urls, options.durationMs);
+    const evenRate = spentUnitsPerSecond(evenlySent, REBALANCE_MS, options.durationMs);
     print(
       `arrivals at all ${String(urls.length)} hosts: ${(evenRate / UNITS_PER_SECOND).toFixed(3)} of the limit used`,
     );
-    const total = spentRate(even, 0, options.durationMs) * (options.durationMs / MS_PER_SECOND);
+    const totalUnits =
+      spentUnitsPerSecond(evenlySent, 0, options.durationMs) * (options.durationMs / MS_PER_SECOND);
     const most = BURST_UNITS + (UNITS_PER_SECOND * options.durationMs) / MS_PER_SECOND;
     print(
-      `spent ${total.toFixed(0)} units from the start, at most ${most.toFixed(0)} allowed: ${total <= most ? 'held' : 'BROKEN'}`,
+      `spent ${totalUnits.toFixed(0)} units from the start, at most ${most.toFixed(0)} allowed: ${totalUnits <= most ? 'held' : 'BROKEN'}`,
     );
     const before = tableSchema.parse(await getJson(`${fleet.platform.url}/truth`));
-    const one = await offer(urls.slice(-1), options.durationMs);
+    const sentToOneHost = await offerLoad(urls.slice(-1), options.durationMs);
     const after = tableSchema.parse(await getJson(`${fleet.platform.url}/truth`));
-    const early = spentRate(one, 0, TRANSITION_MS);
-    const oneRate = spentRate(one, TRANSITION_MS, options.durationMs);
+    const earlyRate = spentUnitsPerSecond(sentToOneHost, 0, REBALANCE_MS);
+    const oneHostRate = spentUnitsPerSecond(sentToOneHost, REBALANCE_MS, options.durationMs);
     print(
-      `all arrivals at one host: ${(oneRate / UNITS_PER_SECOND).toFixed(3)} of the limit used (target 0.9); ${(early / UNITS_PER_SECOND).toFixed(3)} in the first ${String(TRANSITION_MS)} ms`,
+      `all arrivals at one host: ${(oneHostRate / UNITS_PER_SECOND).toFixed(3)} of the limit used (target 0.9); ${(earlyRate / UNITS_PER_SECOND).toFixed(3)} in the first ${String(REBALANCE_MS)} ms`,
     );
     const writes = (after.writes - before.writes) / (options.durationMs / MS_PER_SECOND);
     print(`the platform took ${writes.toFixed(1)} writes a second meanwhile`);
--- a/packages/measure/src/mixed.ts
+++ b/packages/measure/src/mixed.ts
@@ -3,7 +3,7 @@
 import { makeWorkload, runLoad, SHORT_PROMPT_TOKENS, summarize } from '@poppypond/load';
 import type { Arrival, LoadSample, LoadSummary } from '@poppypond/load';
 import { z } from 'zod';
-import { chartByLength } from './chart.js';
+import { renderChartByLength } from './chart.js';
 import { markdownTable, median, print, writeReport } from './report.js';
 
 /** How the mixed measurement is run. */
@@ -122,24 +122,24 @@
 }
 
 function resultRow(result: VariantResult): readonly string[] {
-  const fixed = (value: (run: VariantRun) => number, digits = 1) =>
+  const formatMedian = (value: (run: VariantRun) => number, digits = 1) =>
     medianOf(result, value).toFixed(digits);
   return [
     result.name,
-    fixed((run) => run.alone.short.p99),
-    fixed((run) => run.mixed.short.p50),
-    fixed((run) => run.mixed.short.p99),
-    fixed((run) => run.slowdown, 2),
-    fixed((run) => run.mixed.longestTenth.p50, 0),
-    fixed((run) => run.mixed.longestTenth.p90, 0),
-    fixed((run) => run.mixed.codes['ok'] ?? 0, 0),
-    fixed((run) => run.mixed.requests - (run.mixed.codes['ok'] ?? 0), 0),
-    fixed((run) => run.mixed.late, 0),
-    fixed((run) => run.heldAfterTokens, 0),
+    formatMedian((run) => run.alone.short.p99),
+    formatMedian((run) => run.mixed.short.p50),
+    formatMedian((run) => run.mixed.short.p99),
+    formatMedian((run) => run.slowdown, 2),
+    formatMedian((run) => run.mixed.longestTenth.p50, 0),
+    formatMedian((run) => run.mixed.longestTenth.p90, 0),
+    formatMedian((run) => run.mixed.codes['ok'] ?? 0, 0),
+    formatMedian((run) => run.mixed.requests - (run.mixed.codes['ok'] ?? 0), 0),
+    formatMedian((run) => run.mixed.late, 0),
+    formatMedian((run) => run.heldAfterTokens, 0),
   ];
 }
 
-const HEAD = [
+const TABLE_HEADER = [
   'placement',
   'short p99 alone ms',
   'short p50 mixed ms',
@@ -154,16 +154,16 @@
 ];
 
 function printRatios(results: readonly VariantResult[]): void {
-  const own = results.find((result) => result.name === 'poppypond');
-  if (!own) return;
-  const slowdown = medianOf(own, (run) => run.slowdown);
-  const longest = medianOf(own, (run) => run.mixed.longestTenth.p50);
+  const ownResult = results.find((result) => result.name === 'poppypond');
+  if (!ownResult) return;
+  const slowdown = medianOf(ownResult, (run) => run.slowdown);
+  const longPromptMs = medianOf(ownResult, (run) => run.mixed.longestTenth.p50);
   print(`slowdown of short requests: ${slowdown.toFixed(2)} (target at most 1.25)`);
   for (const baseline of results.filter((result) => result.isBaseline)) {
-    const ratio = medianOf(baseline, (run) => run.slowdown) / slowdown;
-    const long = longest / medianOf(baseline, (run) => run.mixed.longestTenth.p50);
+    const slowdownRatio = medianOf(baseline, (run) => run.slowdown) / slowdown;
+    const long = longPromptMs / medianOf(baseline, (run) => run.mixed.longestTenth.p50);
     print(
-      `against ${baseline.name}: slowdown ${ratio.toFixed(2)} times lower, ` +
+      `against ${baseline.name}: slowdown ${slowdownRatio.toFixed(2)} times lower, ` +
         `longest tenth ${long.toFixed(2)} times its time`,
     );
   }
@@ -175,7 +175,7 @@
     ({ name }) => options.variants.length === 0 || options.variants.includes(name),
   );
   const runs = new Map<string, VariantRun[]>(variants.map(({ name }) => [name, []]));
-  const samples: string[] = [];
+  const sampleLines: string[] = [];
   const lastSamples = new Map<string, readonly LoadSample[]>();
   for (const seed of options.seeds) {
     for (const variant of variants) {
@@ -183,7 +183,7 @@
       runs.get(variant.name)?.push(run);
       lastSamples.set(variant.name, raw);
       for (const sample of raw)
-        samples.push(JSON.stringify({ variant: variant.name, seed, ...sample }));
+        sampleLines.push(JSON.stringify({ variant: variant.name, seed, ...sample }));
       print(
         `seed ${String(seed)} ${variant.name}: short p99 ${run.mixed.short.p99.toFixed(1)} ms, ` +
           `slowdown ${run.slowdown.toFixed(2)}, longest tenth p50 ` +
@@ -197,11 +197,11 @@
     runs: runs.get(name) ?? [],
   }));
   print(`\nmedians of ${String(options.seeds.length)} seeds\n`);
-  print(markdownTable(HEAD, results.map(resultRow)));
+  print(markdownTable(TABLE_HEADER, results.map(resultRow)));
   print('');
   printRatios(results);
-  writeReport('out/mixed-samples.jsonl', `${samples.join('\n')}\n`);
-  writeReport('out/mixed.svg', chartByLength(lastSamples));
+  writeReport('out/mixed-samples.jsonl', `${sampleLines.join('\n')}\n`);
+  writeReport('out/mixed.svg', renderChartByLength(lastSamples));
   if (options.json !== undefined) {
     writeReport(options.json, `${JSON.stringify({ options, results }, undefined, 2)}\n`);
   }
--- a/packages/measure/src/overload.ts
+++ b/packages/measure/src/overload.ts
@@ -29,7 +29,7 @@
   return (tokens / durationMs) * MS_PER_SECOND;
 }
 
-function countCodes(samples: readonly LoadSample[]): string {
+function formatCodeCounts(samples: readonly LoadSample[]): string {
   const codes = new Map<string, number>();
   for (const { code } of samples) codes.set(code, (codes.get(code) ?? 0) + 1);
   return [...codes].map(([code, count]) => `${code} ${String(count)}`).join(', ');
@@ -59,18 +59,27 @@
       const target = { urls, seed: options.seed + load * 100, timeLimitMs: TIME_LIMIT_MS };
       const samples = await runLoad(arrivals, target);
       const late = samples.filter(({ totalMs }) => totalMs > TIME_LIMIT_MS + 300).length;
-      const carried = goodput(samples, options.durationMs);
-      figures.push({ load, goodput: carried, late });
-      rows.push([String(load), carried.toFixed(0), String(late), countCodes(samples)]);
-      print(`load ${String(load)}: ${carried.toFixed(0)} prompt tokens a second answered whole`);
+      const tokensPerSecond = goodput(samples, options.durationMs);
+      figures.push({ load, goodput: tokensPerSecond, late });
+      rows.push([
+        String(load),
+        tokensPerSecond.toFixed(0),
+        String(late),
+        formatCodeCounts(samples),
+      ]);
+      print(
+        `load ${String(load)}: ${tokensPerSecond.toFixed(0)} prompt tokens a second answered whole`,
+      );
     }
   } finally {
     await fleet.stop();
   }
   print(markdownTable(['load', 'answered tokens/s', 'late', 'codes'], rows));
-  const peak = Math.max(...figures.map(({ goodput: carried }) => carried));
-  const atThree = figures.at(-1)?.goodput ?? 0;
-  print(`goodput at 3 times the load is ${(atThree / peak).toFixed(2)} of the peak (target 0.9)`);
+  const peak = Math.max(...figures.map(({ goodput: tokensPerSecond }) => tokensPerSecond));
+  const goodputAtTripleLoad = figures.at(-1)?.goodput ?? 0;
+  print(
+    `goodput at 3 times the load is ${(goodputAtTripleLoad / peak).toFixed(2)} of the peak (target 0.9)`,
+  );
   if (options.json !== undefined)
     writeReport(options.json, JSON.stringify({ options, figures }, undefined, 2));
 }
--- a/packages/measure/src/relay.ts
+++ b/packages/measure/src/relay.ts
@@ -13,13 +13,13 @@
   readonly json: string | undefined;
 }
 
-const TOKENS = 32;
+const OUTPUT_TOKENS = 32;
 const PROMPT_TOKENS = 200;
-const ENGINES = 6;
+const ENGINE_COUNT = 6;
 const HALF = 0.5;
 const MS_PER_SECOND = 1000;
 const BYTES_PER_MB = 1e6;
-const FAST = { 'step-base-ms': 1, 'prefill-ms': 0.001, 'decode-ms': 0, 'max-running': 1000 };
+const FAST_ENGINE = { 'step-base-ms': 1, 'prefill-ms': 0.001, 'decode-ms': 0, 'max-running': 1000 };
 
 const statusSchema = z.object({
   process: z.object({ rssBytes: z.number(), heapBytes: z.number() }),
@@ -42,20 +42,20 @@
   return Promise.all(sending);
 }
 
-function bodyOf(head: string): string {
+function makeBody(head: string): string {
   const prompt = makePrompt(head, PROMPT_TOKENS);
-  return JSON.stringify({ model: SAMPLE_MODEL, prompt, max_tokens: TOKENS, stream: true });
+  return JSON.stringify({ model: SAMPLE_MODEL, prompt, max_tokens: OUTPUT_TOKENS, stream: true });
 }
 
-function gatewaySender(url: string, seed: number): Send {
+function makeGatewaySender(url: string, seed: number): Send {
   return async (index, startedAt) => {
     const result = await timeStream(
       {
         url: `${url}/v1/completions`,
         headers: { authorization: `Bearer ${sampleKey('members')}` },
-        body: bodyOf(`relay ${String(seed)} ${String(index)} `),
-        tokens: TOKENS,
-        doneMark: '[DONE]',
+        body: makeBody(`relay ${String(seed)} ${String(index)} `),
+        tokens: OUTPUT_TOKENS,
+        doneMarker: '[DONE]',
       },
       startedAt,
     );
@@ -63,15 +63,15 @@
   };
 }
 
-function directSender(urls: readonly string[], seed: number): Send {
+function makeDirectSender(urls: readonly string[], seed: number): Send {
   return async (index, startedAt) => {
     const result = await timeStream(
       {
         url: `${urls[index % urls.length] ?? ''}/generate`,
         headers: { 'x-request': `direct-${String(index)}`, 'x-attempt': '1' },
-        body: bodyOf(`direct ${String(seed)} ${String(index)} `),
-        tokens: TOKENS,
-        doneMark: 'event: done',
+        body: makeBody(`direct ${String(seed)} ${String(index)} `),
+        tokens: OUTPUT_TOKENS,
+        doneMarker: 'event: done',
       },
       startedAt,
     );
@@ -79,7 +79,11 @@
   };
 }
 
-function line(name: string, percentiles: Percentiles, samples: readonly LoadSample[]): string {
+function formatLatency(
+  name: string,
+  percentiles: Percentiles,
+  samples: readonly LoadSample[],
+): string {
   const ok = samples.filter(({ code }) => code === 'ok').length;
   return (
     `${name}: first token p50 ${percentiles.p50.toFixed(2)} ms, p99 ${percentiles.p99.toFixed(2)} ms, ` +
@@ -87,23 +91,23 @@
   );
 }
 
-async function memoryOf(url: string): Promise<number> {
+async function readMemoryMb(url: string): Promise<number> {
   const status = statusSchema.parse(await getJson(`${url}/status`));
   return status.process.rssBytes / BYTES_PER_MB;
 }
 
 /** Sends at full rate and watches the gateway's memory; one reading each second. */
-async function sendWatchingMemory(url: string, options: RelayOptions) {
-  const memory: number[] = [];
+async function sendAndSampleMemory(url: string, options: RelayOptions) {
+  const memoryMb: number[] = [];
   const timer = setInterval(() => {
-    void memoryOf(url).then((megabytes) => memory.push(megabytes));
+    void readMemoryMb(url).then((megabytes) => memoryMb.push(megabytes));
   }, MS_PER_SECOND);
-  const sender = gatewaySender(url, options.seed + 1);
+  const sender = makeGatewaySender(url, options.seed + 1);
   const startedAt = performance.now();
   const samples = await sendAtRate(options.requestsPerSecond, options.durationMs, sender);
   const elapsedMs = performance.now() - startedAt;
   clearInterval(timer);
-  return { samples, memory, elapsedMs };
+  return { samples, memoryMb, elapsedMs };
 }
 
 function mean(values: readonly number[]): number {
@@ -111,69 +115,80 @@
 }
 
 /** Memory of the last quarter over that of the third: 1 where it does not grow. */
-function growthOf(memory: readonly number[]): number {
-  const half = memory.slice(Math.floor(memory.length / 2));
-  const middle = Math.floor(half.length / 2);
-  return mean(half.slice(middle)) / mean(half.slice(0, middle));
+function memoryGrowth(memoryMb: readonly number[]): number {
+  const secondHalf = memoryMb.slice(Math.floor(memoryMb.length / 2));
+  const middle = Math.floor(secondHalf.length / 2);
+  return mean(secondHalf.slice(middle)) / mean(secondHalf.slice(0, middle));
 }
 
 /** Measures what the gateway adds to the first token, what it carries, and its memory. */
 export async function measureRelay(options: RelayOptions): Promise<void> {
   const fleet = await Fleet.start({
     gateways: 1,
-    engines: ENGINES,
+    engines: ENGINE_COUNT,
     services: 0,
-    engineFlags: FAST,
+    engineFlags: FAST_ENGINE,
     gatewayFlags: { 'prefill-tokens-per-ms': 500, 'decode-step-ms': 2, 'step-ms': 2 },
   });
   try {
     const url = fleet.gateways[0]?.url ?? '';
     const engineUrls = fleet.engines.map((engine) => engine.url);
     const halfRate = options.requestsPerSecond * HALF;
-    const warm = { ...options, durationMs: options.durationMs / 6 };
-    await sendAtRate(halfRate, warm.durationMs, gatewaySender(url, options.seed + 2));
+    const warmUp = { ...options, durationMs: options.durationMs / 6 };
+    await sendAtRate(halfRate, warmUp.durationMs, makeGatewaySender(url, options.seed + 2));
     const direct = await sendAtRate(
       halfRate,
       options.durationMs / 3,
-      directSender(engineUrls, options.seed),
+      makeDirectSender(engineUrls, options.seed),
     );
     const through = await sendAtRate(
       halfRate,
       options.durationMs / 3,
-      gatewaySender(url, options.seed),
+      makeGatewaySender(url, options.seed),
+    );
+    const [directPercentiles, throughPercentiles] = [
+      firstTokenPercentiles(direct),
+      firstTokenPercentiles(through),
+    ];
+    print(formatLatency(`direct at ${String(halfRate)}/s`, directPercentiles, direct));
+    print(
+      formatLatency(`through the gateway at ${String(halfRate)}/s`, throughPercentiles, through),
     );
-    const [d, t] = [firstTokenPercentiles(direct), firstTokenPercentiles(through)];
-    print(line(`direct at ${String(halfRate)}/s`, d, direct));
-    print(line(`through the gateway at ${String(halfRate)}/s`, t, through));
     print(
-      `the gateway adds ${(t.p50 - d.p50).toFixed(2)} ms at p50 (target 1.5) and ${(t.p99 - d.p99).toFixed(2)} ms at p99 (target 8)`,
+      `the gateway adds ${(throughPercentiles.p50 - directPercentiles.p50).toFixed(2)} ms at p50 (target 1.5) and ${(throughPercentiles.p99 - directPercentiles.p99).toFixed(2)} ms at p99 (target 8)`,
     );
-    const full = await sendWatchingMemory(url, options);
+    const full = await sendAndSampleMemory(url, options);
     const ok = full.samples.filter(({ code }) => code === 'ok').length;
     const rate = ok / (full.elapsedMs / MS_PER_SECOND);
-    const f = firstTokenPercentiles(full.samples);
-    print(line(`through the gateway at ${String(options.requestsPerSecond)}/s`, f, full.samples));
+    const fullPercentiles = firstTokenPercentiles(full.samples);
+    print(
+      formatLatency(
+        `through the gateway at ${String(options.requestsPerSecond)}/s`,
+        fullPercentiles,
+        full.samples,
+      ),
+    );
     print(
-      `carried ${rate.toFixed(0)} streamed requests a second of ${String(TOKENS)} tokens (target 500)`,
+      `carried ${rate.toFixed(0)} streamed requests a second of ${String(OUTPUT_TOKENS)} tokens (target 500)`,
     );
     print(
-      `memory over the second half: last quarter / third quarter = ${growthOf(full.memory).toFixed(3)}; last ${full.memory.at(-1)?.toFixed(0) ?? '-'} MB`,
+      `memory over the second half: last quarter / third quarter = ${memoryGrowth(full.memoryMb).toFixed(3)}; last ${full.memoryMb.at(-1)?.toFixed(0) ?? '-'} MB`,
     );
     const figures = {
       options,
-      direct: d,
-      through: t,
-      full: f,
+      direct: directPercentiles,
+      through: throughPercentiles,
+      full: fullPercentiles,
       carriedPerSecond: rate,
-      memoryMb: full.memory,
+      memoryMb: full.memoryMb,
     };
     if (options.json !== undefined)
       writeReport(options.json, JSON.stringify(figures, undefined, 2));
-    const raw = [
+    const rows = [
       ...direct.map((s) => ['direct', s.firstTokenMs]),
       ...through.map((s) => ['gateway', s.firstTokenMs]),
     ];
-    writeReport('out/relay-samples.jsonl', raw.map((row) => JSON.stringify(row)).join('\n'));
+    writeReport('out/relay-samples.jsonl', rows.map((row) => JSON.stringify(row)).join('\n'));
   } finally {
     await fleet.stop();
   }
--- a/packages/measure/src/report.ts
+++ b/packages/measure/src/report.ts
@@ -19,9 +19,9 @@
 
 /** Rows as a table in Markdown. */
 export function markdownTable(
-  head: readonly string[],
+  header: readonly string[],
   rows: readonly (readonly string[])[],
 ): string {
-  const line = (cells: readonly string[]) => `| ${cells.join(' | ')} |`;
-  return [line(head), line(head.map(() => '---')), ...rows.map(line)].join('\n');
+  const formatRow = (cells: readonly string[]) => `| ${cells.join(' | ')} |`;
+  return [formatRow(header), formatRow(header.map(() => '---')), ...rows.map(formatRow)].join('\n');
 }
--- a/packages/measure/src/timed-stream.ts
+++ b/packages/measure/src/timed-stream.ts
@@ -2,9 +2,9 @@
 import type { LoadSample } from '@poppypond/load';
 
 const MAX_SOCKETS = 4096;
-const IDLE_MS = 30_000;
-const agent = new Agent({ keepAlive: true, maxSockets: MAX_SOCKETS, timeout: IDLE_MS });
-const TOKEN_MARK = 'id: ';
+const IDLE_TIMEOUT_MS = 30_000;
+const agent = new Agent({ keepAlive: true, maxSockets: MAX_SOCKETS, timeout: IDLE_TIMEOUT_MS });
+const TOKEN_MARKER = 'id: ';
 
 /** A streamed call, to an engine or to a gateway. */
 export interface TimedCall {
@@ -13,7 +13,7 @@
   readonly body: string;
   readonly tokens: number;
   /** Text that stands only at the end of a whole stream. */
-  readonly doneMark: string;
+  readonly doneMarker: string;
 }
 
 /** What a timed call found. */
@@ -44,10 +44,10 @@
     };
     const outgoing = startHttp(call.url, { method: 'POST', agent, headers }, (response) => {
       response.on('data', (chunk: Buffer) => {
-        if (firstTokenMs === undefined && chunk.includes(TOKEN_MARK)) {
+        if (firstTokenMs === undefined && chunk.includes(TOKEN_MARKER)) {
           firstTokenMs = performance.now() - startedAt;
         }
-        isDone ||= chunk.includes(call.doneMark);
+        isDone ||= chunk.includes(call.doneMarker);
       });
       response.once('close', end);
     });
--- a/packages/proof/src/bad-input.test.ts
+++ b/packages/proof/src/bad-input.test.ts
@@ -16,8 +16,8 @@
 const truthSchema = z.object({ runs: z.array(z.unknown()), heldTokens: z.number() });
 const statusSchema = z.object({ inProgress: z.number() });
 
-const QUESTION = { model: 'general', prompt: 'hello', max_tokens: 2 };
-const SPEC = {
+const REQUEST = { model: 'general', prompt: 'hello', max_tokens: 2 };
+const TINY_RULE_SPEC = {
   traffic: [{ key: 'purpose', operator: 'equals', value: 'tiny' }],
   pools: [{ key: 'serves', operator: 'equals', value: 'engines' }],
   precedence: 500,
@@ -36,7 +36,7 @@
       engineFlags: { 'step-base-ms': 1, 'prefill-ms': 0.001 },
       gatewayFlags: { 'max-body-bytes': 200_000, 'body-timeout-ms': 300 },
       objects: [
-        { kind: 'rule', name: 'tiny', labels: {}, spec: SPEC },
+        { kind: 'rule', name: 'tiny', labels: {}, spec: TINY_RULE_SPEC },
         {
           kind: 'rule',
           name: 'never',
@@ -81,9 +81,9 @@
     };
   }
 
-  const json = JSON.stringify(QUESTION);
-  const long = (tokens: number) => JSON.stringify({ ...QUESTION, prompt: makePrompt('p', tokens) });
-  const labelled = (value: string) => ({ 'x-poppypond-labels': `purpose=${value}` });
+  const json = JSON.stringify(REQUEST);
+  const long = (tokens: number) => JSON.stringify({ ...REQUEST, prompt: makePrompt('p', tokens) });
+  const purposeHeader = (value: string) => ({ 'x-poppypond-labels': `purpose=${value}` });
 
   it.each([
     ['malformed JSON', '{"model":', {}, 400, 'bad_json'],
@@ -92,11 +92,17 @@
     ['an oversized body', long(60_000), {}, 413, 'body_too_large'],
     ['a bad key', json, { authorization: 'Bearer wrong' }, 401, 'unauthenticated'],
     ['an unknown model', '{"model":"other","prompt":"a"}', {}, 404, 'unknown_model'],
-    ['a prompt over the limit of its rule', long(100), labelled('tiny'), 413, 'prompt_too_long'],
-    ['traffic that a rule refuses', json, labelled('never'), 403, 'refused_by_rule'],
+    [
+      'a prompt over the limit of its rule',
+      long(100),
+      purposeHeader('tiny'),
+      413,
+      'prompt_too_long',
+    ],
+    ['traffic that a rule refuses', json, purposeHeader('never'), 403, 'refused_by_rule'],
     [
       'a time limit that cannot be met',
-      JSON.stringify({ ...QUESTION, max_tokens: 4000 }),
+      JSON.stringify({ ...REQUEST, max_tokens: 4000 }),
       { 'x-poppypond-time-limit-ms': '20' },
       503,
       'cannot_finish',
@@ -115,7 +121,7 @@
 
   it('names the budget that is spent, and when to come back', async () => {
     const headers = { authorization: `Bearer ${sampleKey('audit')}` };
-    const body = JSON.stringify({ ...QUESTION, max_tokens: 90 });
+    const body = JSON.stringify({ ...REQUEST, max_tokens: 90 });
     expect((await post(body, headers)).status).toBe(200);
     const refused = await post(body, headers);
     expect(refused.status).toBe(429);
--- a/packages/proof/src/checkers/checkers.test.ts
+++ b/packages/proof/src/checkers/checkers.test.ts
@@ -9,7 +9,7 @@
   checkNoGap,
   checkNotRun,
   checkRevisions,
-  checkWholeAnswers,
+  checkCompleteAnswers,
   checkWithinLimit,
 } from './checkers.js';
 
@@ -36,9 +36,9 @@
   });
 
   it('whole answers', () => {
-    expect(checkWholeAnswers([call, { ...call, code: 'incomplete', text: 'a ' }])).toEqual([]);
-    expect(checkWholeAnswers([{ ...call, text: 'a b ' }])).toHaveLength(1);
-    expect(checkWholeAnswers([{ ...call, code: 'incomplete', text: 'a a ' }])).toHaveLength(1);
+    expect(checkCompleteAnswers([call, { ...call, code: 'incomplete', text: 'a ' }])).toEqual([]);
+    expect(checkCompleteAnswers([{ ...call, text: 'a b ' }])).toHaveLength(1);
+    expect(checkCompleteAnswers([{ ...call, code: 'incomplete', text: 'a a ' }])).toHaveLength(1);
   });
 
   it('told not run', () => {
--- a/packages/proof/src/checkers/checkers.ts
+++ b/packages/proof/src/checkers/checkers.ts
@@ -2,7 +2,7 @@
 import type {
   AcceptedRevision,
   CompletionCall,
-  RevisionSeen,
+  ObservedRevision,
   ServiceCall,
   ServiceRun,
 } from '../history.js';
@@ -20,11 +20,11 @@
  */
 export function checkWithinLimit(
   calls: readonly CompletionCall[],
-  disturbedGateways: ReadonlySet<string>,
+  faultedGateways: ReadonlySet<string>,
   graceMs: number,
 ): Violations {
   return calls.flatMap((call) => {
-    if (call.isCancelled || disturbedGateways.has(call.gateway)) return [];
+    if (call.isCancelled || faultedGateways.has(call.gateway)) return [];
     const tookMs = call.endedAtMs - call.startedAtMs;
     if (call.code === 'lost') return [`${call.requestId}: no final word`];
     if (tookMs <= call.limitMs + graceMs) return [];
@@ -33,7 +33,7 @@
 }
 
 /** Whoever was told `ok` has the whole answer to its own request; others have at most its start. */
-export function checkWholeAnswers(calls: readonly CompletionCall[]): Violations {
+export function checkCompleteAnswers(calls: readonly CompletionCall[]): Violations {
   return calls.flatMap((call) => {
     if (call.code === 'ok' && call.text !== call.expected) {
       return [
@@ -61,34 +61,36 @@
   calls: readonly ServiceCall[],
   runs: readonly ServiceRun[],
 ): Violations {
-  const byKey = new Map<string, ServiceRun[]>();
-  for (const run of runs) byKey.set(run.body, [...(byKey.get(run.body) ?? []), run]);
-  const twice = [...byKey].flatMap(([key, found]) =>
+  const runsByKey = new Map<string, ServiceRun[]>();
+  for (const run of runs) runsByKey.set(run.body, [...(runsByKey.get(run.body) ?? []), run]);
+  const repeatedRuns = [...runsByKey].flatMap(([key, found]) =>
     found.length > 1 ? [`${key}: ran ${String(found.length)} times`] : [],
   );
-  const wrong = calls.flatMap(({ key, code, receipt }) => {
-    const run = byKey.get(key)?.[0];
+  const wrongReceipts = calls.flatMap(({ key, code, receipt }) => {
+    const run = runsByKey.get(key)?.[0];
     if (code !== 'ok') return [];
     return run?.receipt === receipt ? [] : [`${key}: receipt ${String(receipt)} is not its own`];
   });
-  return [...twice, ...wrong];
+  return [...repeatedRuns, ...wrongReceipts];
 }
 
 /** A host's revision never falls, and each accepted revision is in force in time. */
 export function checkRevisions(
-  seen: readonly RevisionSeen[],
+  seen: readonly ObservedRevision[],
   accepted: readonly AcceptedRevision[],
   withinMs: number,
 ): Violations {
   const violations: string[] = [];
-  const newest = new Map<string, RevisionSeen>();
-  for (const now of seen) {
-    const run = `${now.host}/${now.incarnation}`;
-    const before = newest.get(run);
-    if (before && now.revision < before.revision) {
-      violations.push(`${run}: went from ${String(before.revision)} to ${String(now.revision)}`);
+  const lastByIncarnation = new Map<string, ObservedRevision>();
+  for (const observation of seen) {
+    const run = `${observation.host}/${observation.incarnation}`;
+    const before = lastByIncarnation.get(run);
+    if (before && observation.revision < before.revision) {
+      violations.push(
+        `${run}: went from ${String(before.revision)} to ${String(observation.revision)}`,
+      );
     }
-    newest.set(run, now);
+    lastByIncarnation.set(run, observation);
   }
   for (const { atMs, revision } of accepted) {
     const late = seen.filter((one) => one.atMs > atMs + withinMs && one.revision < revision);
@@ -103,11 +105,11 @@
 
 /** No work started on a server that had been leaving for longer than the allowed time. */
 export function checkLeaving(
-  startsMs: readonly number[],
+  startTimesMs: readonly number[],
   leavingSinceMs: number,
   allowedMs: number,
 ): Violations {
-  return startsMs
+  return startTimesMs
     .filter((startMs) => startMs > leavingSinceMs + allowedMs)
     .map(
       (startMs) => `started ${(startMs - leavingSinceMs).toFixed(0)} ms after it began to leave`,
--- a/packages/proof/src/commands.ts
+++ b/packages/proof/src/commands.ts
@@ -5,14 +5,14 @@
   booleanSetting,
 } from '@poppypond/settings';
 import type { ProgramCommand } from '@poppypond/settings';
-import type { Proof } from './proof.js';
-import { PROOFS } from './proofs.js';
-import { runProof } from './run-proof.js';
-import type { ProofResult } from './run-proof.js';
+import type { Scenario } from './proof.js';
+import { SCENARIOS } from './proofs.js';
+import { runScenario } from './run-proof.js';
+import type { ScenarioResult } from './run-proof.js';
 
 const DEFAULT_RUNS = 100;
 const DEFAULT_SEED = 1;
-const FREE_SEEDS = 1_000_000;
+const FREE_SEED_RANGE = 1_000_000;
 
 const shape = {
   runs: countSetting.default(DEFAULT_RUNS).describe('fault runs of each promise'),
@@ -21,32 +21,32 @@
   timeLimitMs: millisecondsSetting.default(900_000).describe('time limit of each promise'),
 };
 
-function countsText(counts: ReadonlyMap<string, number>): string {
+function formatCounts(counts: ReadonlyMap<string, number>): string {
   return [...counts].map(([name, count]) => `${name} ${String(count)}`).join(', ');
 }
 
-function printResult(result: ProofResult): void {
-  const faults = countsText(result.faults);
+function printResult(result: ScenarioResult): void {
+  const faults = formatCounts(result.faults);
   process.stdout.write(
-    `| ${result.promise} | ${String(result.runs)} | ${countsText(result.codes)} | ${faults} | ` +
+    `| ${result.guarantee} | ${String(result.runs)} | ${formatCounts(result.codes)} | ${faults} | ` +
       `${String(result.violations.length)} |\n`,
   );
 }
 
-async function prove(
-  proofs: readonly Proof[],
+async function runScenarios(
+  scenarios: readonly Scenario[],
   settings: { runs: number; seed: number; freeSeed: boolean; timeLimitMs: number },
 ): Promise<number> {
-  const seed = settings.freeSeed ? Math.floor(Math.random() * FREE_SEEDS) : settings.seed;
+  const seed = settings.freeSeed ? Math.floor(Math.random() * FREE_SEED_RANGE) : settings.seed;
   process.stdout.write(`seed ${String(seed)}\n`);
-  const results: ProofResult[] = [];
-  for (const proof of proofs) {
+  const results: ScenarioResult[] = [];
+  for (const scenario of scenarios) {
     const bounds = { ...settings, seed };
-    const result = await runProof(proof, bounds, (_index, { violations }) => {
-      for (const violation of violations) process.stdout.write(`${proof.name}: ${violation}\n`);
+    const result = await runScenario(scenario, bounds, (_index, { violations }) => {
+      for (const violation of violations) process.stdout.write(`${scenario.name}: ${violation}\n`);
     });
     process.stdout.write(
-      `${proof.name}: ${String(result.runs)} runs, ${String(result.violations.length)} violations\n`,
+      `${scenario.name}: ${String(result.runs)} runs, ${String(result.violations.length)} violations\n`,
     );
     results.push(result);
   }
@@ -55,17 +55,24 @@
   );
   process.stdout.write('| --- | --- | --- | --- | --- |\n');
   for (const result of results) printResult(result);
-  const isHeld = results.every((result) => result.violations.length === 0);
-  setImmediate(() => process.exit(isHeld ? 0 : 1));
-  return isHeld ? 0 : 1;
+  const hasNoViolations = results.every((result) => result.violations.length === 0);
+  setImmediate(() => process.exit(hasNoViolations ? 0 : 1));
+  return hasNoViolations ? 0 : 1;
 }
 
-function commandFor(path: readonly string[], description: string, proofs: readonly Proof[]) {
-  return defineCommand({ path, description, shape, main: (settings) => prove(proofs, settings) });
+function makeCommand(path: readonly string[], description: string, scenarios: readonly Scenario[]) {
+  return defineCommand({
+    path,
+    description,
+    shape,
+    main: (settings) => runScenarios(scenarios, settings),
+  });
 }
 
 /** One command for each promise, and one for all. */
 export const proofCommands: readonly ProgramCommand[] = [
-  commandFor([], 'Prove every promise under faults, on fleets of processes.', PROOFS),
-  ...PROOFS.map((proof) => commandFor([proof.name], `Prove: ${proof.promise}.`, [proof])),
+  makeCommand([], 'Prove every promise under faults, on fleets of processes.', SCENARIOS),
+  ...SCENARIOS.map((scenario) =>
+    makeCommand([scenario.name], `Prove: ${scenario.guarantee}.`, [scenario]),
+  ),
 ];
--- a/packages/proof/src/history.ts
+++ b/packages/proof/src/history.ts
@@ -34,7 +34,7 @@
 }
 
 /** The revision in force on one run of one host, as it was observed. */
-export interface RevisionSeen {
+export interface ObservedRevision {
   readonly host: string;
   readonly incarnation: string;
   readonly atMs: number;
--- a/packages/proof/src/operators.test.ts
+++ b/packages/proof/src/operators.test.ts
@@ -28,7 +28,7 @@
     await fleet.stop();
   });
 
-  function poppypond(args: readonly string[], key = SAMPLE_OPERATOR_KEY) {
+  function runCli(args: readonly string[], key = SAMPLE_OPERATOR_KEY) {
     const env = { ...process.env, POPPYPOND_ADMIN: fleet.admin.url, POPPYPOND_KEY: key };
     const child = spawn(process.execPath, [CLI, ...args], { env });
     return new Promise<{ readonly code: number | null; readonly out: string }>((resolve) => {
@@ -41,7 +41,7 @@
     });
   }
 
-  function file(name: string, objects: readonly unknown[]): string {
+  function writeObjects(name: string, objects: readonly unknown[]): string {
     const path = join(folder, name);
     writeFileSync(path, JSON.stringify(objects));
     return path;
@@ -65,8 +65,8 @@
   ];
 
   it('sets a limit, sees a refusal, asks why, changes the limit, reads the audit trail', async () => {
-    const set = ['apply', file('limit.json', limited(200)), '--why', 'pilot', '--wait'];
-    expect(await poppypond(set)).toMatchObject({
+    const set = ['apply', writeObjects('limit.json', limited(200)), '--why', 'pilot', '--wait'];
+    expect(await runCli(set)).toMatchObject({
       code: 0,
       out: expect.stringMatching(/revision \d+/),
     });
@@ -74,34 +74,42 @@
     expect(refused.status).toBe(413);
     const request = refused.headers.get('x-poppypond-request') ?? '';
     await waitUntil('the refusal can be explained', async () => {
-      const { out } = await poppypond(['explain', request]);
+      const { out } = await runCli(['explain', request]);
       return /refuse: over_budget_size by rule prompts@1/.test(out);
     });
-    const byLabel = await poppypond(['explain', '--selector', 'workspace=audit']);
+    const byLabel = await runCli(['explain', '--selector', 'workspace=audit']);
     expect(byLabel.out).toContain(request);
-    const more = ['apply', file('more.json', limited(5000)), '--why', 'audit season', '--wait'];
-    expect((await poppypond(more)).code).toBe(0);
-    const answered = await waitForOk();
+    const more = [
+      'apply',
+      writeObjects('more.json', limited(5000)),
+      '--why',
+      'audit season',
+      '--wait',
+    ];
+    expect((await runCli(more)).code).toBe(0);
+    const answered = await requestStatus();
     expect(answered).toBe(200);
-    const trail = await poppypond(['audit', '--object', 'workspace/audit']);
+    const trail = await runCli(['audit', '--object', 'workspace/audit']);
     expect(trail.out).toMatch(/operator +changed +workspace\/audit +pilot/);
     expect(trail.out).toMatch(/operator +changed +workspace\/audit +audit season/);
   });
 
   /** The budget's units come with the share; a host may have to ask for it. */
-  async function waitForOk(): Promise<number> {
+  async function requestStatus(): Promise<number> {
     const reply = await ask(10);
     return reply.status;
   }
 
   it('shows a difference without changing anything, and refuses invalid objects whole', async () => {
-    const diff = await poppypond(['diff', file('diff.json', limited(9000))]);
+    const diff = await runCli(['diff', writeObjects('diff.json', limited(9000))]);
     expect(diff.out).toMatch(/spec.budget.burstUnits: 5000 -> 9000/);
     const bad = [...limited(1), { kind: 'rule', name: 'Bad Name', spec: { traffic: 3 } }];
-    const refused = await poppypond(['apply', file('bad.json', bad), '--why', 'wrong']);
+    const refused = await runCli(['apply', writeObjects('bad.json', bad), '--why', 'wrong']);
     expect(refused.code).toBe(1);
     expect(refused.out).toMatch(/objects.1.name: .*objects.1.spec.traffic: /);
-    expect((await poppypond(['diff', file('same.json', limited(5000))])).out).toMatch(/unchanged/);
+    expect((await runCli(['diff', writeObjects('same.json', limited(5000))])).out).toMatch(
+      /unchanged/,
+    );
   });
 
   it('warns about what matches nothing, and names both changes in a race', async () => {
@@ -117,18 +125,18 @@
         pools: [{ key: 'no', operator: 'equals', value: 'where' }],
       },
     };
-    const warned = await poppypond(['apply', file('lost.json', [rule]), '--dry-run']);
+    const warned = await runCli(['apply', writeObjects('lost.json', [rule]), '--dry-run']);
     expect(warned.out).toMatch(/rule\/lost: traffic can never match/);
     expect(warned.out).toMatch(/rule\/lost: pools matches no object now/);
     const stale = [
       'apply',
-      file('race.json', limited(1)),
+      writeObjects('race.json', limited(1)),
       '--why',
       'late',
       '--expect',
       'workspace/audit=1',
     ];
-    const raced = await poppypond(stale);
+    const raced = await runCli(stale);
     expect(raced.out).toMatch(/conflict .*you changed revision 1, it is now at 3: .*audit season/);
   });
 
@@ -143,14 +151,14 @@
         scope: [{ key: 'team', operator: 'equals', value: 'counters' }],
       },
     });
-    const people = [operator('cara', 'operator'), operator('vera', 'viewer')];
-    expect((await poppypond(['apply', file('people.json', people), '--why', 'staff'])).code).toBe(
-      0,
-    );
-    const change = ['apply', file('change.json', limited(7000)), '--why', 'mine'];
-    expect((await poppypond(change, 'cara-key')).out).toMatch(/forbidden .*outside the scope/);
-    expect((await poppypond(change, 'vera-key')).out).toMatch(/forbidden .*changes nothing/);
-    expect((await poppypond(['get', 'workspace'], 'vera-key')).out).toMatch(/workspace +audit/);
-    expect((await poppypond(['status'], 'vera-key')).out).toMatch(/newest revision/);
+    const operators = [operator('cara', 'operator'), operator('vera', 'viewer')];
+    expect(
+      (await runCli(['apply', writeObjects('people.json', operators), '--why', 'staff'])).code,
+    ).toBe(0);
+    const change = ['apply', writeObjects('change.json', limited(7000)), '--why', 'mine'];
+    expect((await runCli(change, 'cara-key')).out).toMatch(/forbidden .*outside the scope/);
+    expect((await runCli(change, 'vera-key')).out).toMatch(/forbidden .*changes nothing/);
+    expect((await runCli(['get', 'workspace'], 'vera-key')).out).toMatch(/workspace +audit/);
+    expect((await runCli(['status'], 'vera-key')).out).toMatch(/newest revision/);
   });
 });
--- a/packages/proof/src/proof.ts
+++ b/packages/proof/src/proof.ts
@@ -3,7 +3,7 @@
 import type { ScenarioRandom } from './random.js';
 
 /** What one run of a proof provoked and found. */
-export interface ProofRun {
+export interface ScenarioRun {
   readonly faults: readonly string[];
   /** How each call ended, as its caller was told. */
   readonly codes: readonly string[];
@@ -11,9 +11,9 @@
 }
 
 /** A proof of one promise: runs of a scenario on a fleet of processes, each checked afterwards. */
-export interface Proof {
+export interface Scenario {
   readonly name: string;
-  readonly promise: string;
+  readonly guarantee: string;
   readonly fleet: FleetOptions;
-  run(fleet: Fleet, random: ScenarioRandom): Promise<ProofRun>;
+  run(fleet: Fleet, random: ScenarioRandom): Promise<ScenarioRun>;
 }
--- a/packages/proof/src/proofs.test.ts
+++ b/packages/proof/src/proofs.test.ts
@@ -1,18 +1,18 @@
 import { describe, expect, it } from 'vitest';
-import { PROOFS } from './proofs.js';
-import { runProof } from './run-proof.js';
+import { SCENARIOS } from './proofs.js';
+import { runScenario } from './run-proof.js';
 
 const CI_RUNS = 3;
 const CI_SEED = 1;
 const TIME_LIMIT_MS = 120_000;
 
 describe('what must always hold, a bounded part with fixed seeds', () => {
-  for (const proof of PROOFS) {
+  for (const scenario of SCENARIOS) {
     it(
-      proof.promise,
+      scenario.guarantee,
       async () => {
         const bounds = { runs: CI_RUNS, seed: CI_SEED, timeLimitMs: TIME_LIMIT_MS };
-        const result = await runProof(proof, bounds);
+        const result = await runScenario(scenario, bounds);
         expect(result.violations).toEqual([]);
         expect(result.runs).toBe(CI_RUNS);
       },
--- a/packages/proof/src/proofs.ts
+++ b/packages/proof/src/proofs.ts
@@ -1,19 +1,24 @@
-import type { Proof } from './proof.js';
+import type { Scenario } from './proof.js';
 import { atMostOnce } from './scenarios/at-most-once.js';
-import { engineMemory, toldNotRun, wholeAnswer, withinLimit } from './scenarios/completions.js';
+import {
+  engineMemory,
+  reportedNotRun,
+  completeAnswer,
+  withinLimit,
+} from './scenarios/completions.js';
 import { configuration } from './scenarios/configuration.js';
-import { fencedOrders } from './scenarios/controllers.js';
+import { fencedCommands } from './scenarios/controllers.js';
 import { leavingServer, plannedStop } from './scenarios/planned.js';
 
 /** A proof for each line under "What must always hold", and one for control of the engines. */
-export const PROOFS: readonly Proof[] = [
+export const SCENARIOS: readonly Scenario[] = [
   withinLimit,
   engineMemory,
-  wholeAnswer,
-  toldNotRun,
+  completeAnswer,
+  reportedNotRun,
   atMostOnce,
   leavingServer,
   plannedStop,
   configuration,
-  fencedOrders,
+  fencedCommands,
 ];
--- a/packages/proof/src/run-proof.ts
+++ b/packages/proof/src/run-proof.ts
@@ -1,11 +1,11 @@
 import { Fleet } from '@poppypond/launch';
-import type { Proof, ProofRun } from './proof.js';
+import type { Scenario, ScenarioRun } from './proof.js';
 import { ScenarioRandom } from './random.js';
 
 /** The sum of a proof's runs. */
-export interface ProofResult {
+export interface ScenarioResult {
   readonly name: string;
-  readonly promise: string;
+  readonly guarantee: string;
   readonly runs: number;
   readonly calls: number;
   /** Code to how many callers were told it. */
@@ -16,7 +16,7 @@
 }
 
 /** When to stop. */
-export interface ProofBounds {
+export interface RunBounds {
   readonly runs: number;
   readonly seed: number;
   readonly timeLimitMs: number;
@@ -29,18 +29,18 @@
 }
 
 /** Runs a proof on one fleet. Run n of seed s is the same as run 0 of seed s + n. */
-export async function runProof(
-  proof: Proof,
-  bounds: ProofBounds,
-  onRun: (index: number, run: ProofRun) => void = () => undefined,
-): Promise<ProofResult> {
-  const fleet = await Fleet.start(proof.fleet);
+export async function runScenario(
+  scenario: Scenario,
+  bounds: RunBounds,
+  onRun: (index: number, run: ScenarioRun) => void = () => undefined,
+): Promise<ScenarioResult> {
+  const fleet = await Fleet.start(scenario.fleet);
   const startedAt = performance.now();
-  const runs: ProofRun[] = [];
+  const runs: ScenarioRun[] = [];
   try {
     while (runs.length < bounds.runs && performance.now() - startedAt < bounds.timeLimitMs) {
       const seed = bounds.seed + runs.length;
-      const run = await proof.run(fleet, new ScenarioRandom(seed));
+      const run = await scenario.run(fleet, new ScenarioRandom(seed));
       const violations = run.violations.map((violation) => `seed ${String(seed)}: ${violation}`);
       runs.push({ ...run, violations });
       onRun(runs.length, { ...run, violations });
@@ -49,8 +49,8 @@
     await fleet.stop();
   }
   return {
-    name: proof.name,
-    promise: proof.promise,
+    name: scenario.name,
+    guarantee: scenario.guarantee,
     runs: runs.length,
     calls: runs.reduce((sum, run) => sum + run.codes.length, 0),
     codes: countEach(runs.flatMap((run) => run.codes)),
--- a/packages/proof/src/scenarios/at-most-once.ts
+++ b/packages/proof/src/scenarios/at-most-once.ts
@@ -6,9 +6,9 @@
 import { z } from 'zod';
 import { checkAtMostOnce, checkNotRun } from '../checkers/checkers.js';
 import type { ServiceCall, ServiceRun } from '../history.js';
-import type { Proof } from '../proof.js';
+import type { Scenario } from '../proof.js';
 import type { ScenarioRandom } from '../random.js';
-import { pause } from './callers.js';
+import { sleep } from './callers.js';
 import { freeze } from './faults.js';
 
 const FLEET: FleetOptions = {
@@ -39,7 +39,7 @@
 const receiptSchema = z.object({ receipt: z.number() });
 const errorSchema = z.object({ error: z.object({ code: z.string() }) });
 
-let episodes = 0;
+let runCount = 0;
 
 async function sendOnce(gateway: string, key: string): Promise<ServiceCall> {
   const reply = await callHttp({
@@ -69,7 +69,7 @@
 ): Promise<readonly ServiceCall[]> {
   const calls: ServiceCall[] = [];
   for (let sends = 0; sends < SENDS_PER_KEY; sends += 1) {
-    await pause(random.between(0, 120));
+    await sleep(random.between(0, 120));
     const call = await sendOnce(random.pick(fleet.gateways).url, key);
     calls.push(call);
     if (call.code === 'ok' && random.chance(0.6)) break;
@@ -77,7 +77,7 @@
   return calls;
 }
 
-async function provoke(
+async function injectFault(
   fleet: Fleet,
   fault: (typeof FAULTS)[number],
   random: ScenarioRandom,
@@ -105,11 +105,11 @@
       });
     case 'store-down':
       await platform({ down: true });
-      await pause(random.between(50, 400));
+      await sleep(random.between(50, 400));
       return platform({ down: false });
     case 'store-hangs':
       await platform({ hang: true });
-      await pause(random.between(50, 400));
+      await sleep(random.between(50, 400));
       return platform({ hang: false });
     case 'gateway-freeze':
       return freeze(gateway, random.between(50, 600));
@@ -128,7 +128,7 @@
   );
 }
 
-async function heal(fleet: Fleet): Promise<void> {
+async function clearFaults(fleet: Fleet): Promise<void> {
   await setFaults(fleet.platform.url, { down: false, hang: false, loseWriteAnswers: 0 });
   for (const { program } of fleet.services) {
     await setFaults(program.url, { loseAnswers: 0, refuseCalls: 0 });
@@ -136,22 +136,22 @@
 }
 
 /** A call that may not be repeated runs at most once. */
-export const atMostOnce: Proof = {
+export const atMostOnce: Scenario = {
   name: 'at-most-once',
-  promise: 'a call that may not be repeated runs at most once',
+  guarantee: 'a call that may not be repeated runs at most once',
   fleet: FLEET,
   run: async (fleet, random) => {
-    episodes += 1;
-    const keys = Array.from({ length: KEYS }, (_, key) => `k-${String(episodes)}-${String(key)}`);
+    runCount += 1;
+    const keys = Array.from({ length: KEYS }, (_, key) => `k-${String(runCount)}-${String(key)}`);
     const sending = keys.map((key) => sendKey(fleet, key, random));
     const faults: string[] = [];
     for (let count = random.between(1, 3); count > 0; count -= 1) {
       const fault = random.pick(FAULTS);
       faults.push(fault);
-      await provoke(fleet, fault, random);
+      await injectFault(fleet, fault, random);
     }
     const calls = (await Promise.all(sending)).flat();
-    await heal(fleet);
+    await clearFaults(fleet);
     await fleet.waitReady();
     const runs = (await readRuns(fleet)).filter(({ body }) => keys.includes(body));
     const ran = new Set(runs.map((run) => run.requestId));
--- a/packages/proof/src/scenarios/callers.ts
+++ b/packages/proof/src/scenarios/callers.ts
@@ -3,7 +3,7 @@
 import type { ScenarioRandom } from '../random.js';
 
 /** What a caller asks. */
-export interface Question {
+export interface CompletionCallOptions {
   readonly gateway: string;
   readonly promptTokens: number;
   readonly maxTokens: number;
@@ -12,54 +12,57 @@
   readonly cancelAfterMs?: number;
 }
 
-let questions = 0;
+let callCount = 0;
 
 /** Share of questions whose limit is hard to meet. */
-const TIGHT_SHARE = 0.3;
+const TIGHT_LIMIT_SHARE = 0.3;
 
 const ANSWER_GRACE_MS = 20_000;
 
 /** Asks one question and records the call. */
-export async function ask(question: Question, random: ScenarioRandom): Promise<CompletionCall> {
-  questions += 1;
-  const head = `question ${String(questions)} ${String(random.next())} `;
-  const prompt = makePrompt(head, question.promptTokens);
+export async function ask(
+  options: CompletionCallOptions,
+  random: ScenarioRandom,
+): Promise<CompletionCall> {
+  callCount += 1;
+  const promptStart = `question ${String(callCount)} ${String(random.next())} `;
+  const prompt = makePrompt(promptStart, options.promptTokens);
   const abort = new AbortController();
-  const closeAfterMs = question.cancelAfterMs ?? question.limitMs + ANSWER_GRACE_MS;
+  const closeAfterMs = options.cancelAfterMs ?? options.limitMs + ANSWER_GRACE_MS;
   const timer = setTimeout(() => {
     abort.abort();
   }, closeAfterMs);
   const startedAtMs = performance.now();
   const outcome = await callStream({
-    url: question.gateway,
+    url: options.gateway,
     key: sampleKey('members'),
     model: SAMPLE_MODEL,
     prompt,
-    maxTokens: question.maxTokens,
-    timeLimitMs: question.limitMs,
+    maxTokens: options.maxTokens,
+    timeLimitMs: options.limitMs,
     signal: abort.signal,
   });
   clearTimeout(timer);
   return {
-    gateway: question.gateway,
+    gateway: options.gateway,
     startedAtMs,
     endedAtMs: performance.now(),
-    limitMs: question.limitMs,
+    limitMs: options.limitMs,
     requestId: outcome.requestId,
     code: outcome.code,
     text: outcome.text,
-    expected: expectedAnswer(prompt, question.maxTokens),
+    expected: expectedAnswer(prompt, options.maxTokens),
     offset: 0,
-    isCancelled: abort.signal.aborted && question.cancelAfterMs !== undefined,
+    isCancelled: abort.signal.aborted && options.cancelAfterMs !== undefined,
   };
 }
 
 /** A question of random size; one in `longEvery` is long, one in `groupEvery` needs a group. */
-export function randomQuestion(
+export function makeRandomCall(
   gateways: readonly string[],
   random: ScenarioRandom,
   sizes: { readonly longEvery: number; readonly groupEvery: number },
-): Question {
+): CompletionCallOptions {
   const isGroup = random.chance(1 / sizes.groupEvery);
   const isLong = random.chance(1 / sizes.longEvery);
   const promptTokens = isGroup
@@ -71,11 +74,11 @@
     gateway: random.pick(gateways),
     promptTokens,
     maxTokens: random.between(4, 48),
-    limitMs: random.chance(TIGHT_SHARE) ? random.between(15, 200) : random.between(400, 3000),
+    limitMs: random.chance(TIGHT_LIMIT_SHARE) ? random.between(15, 200) : random.between(400, 3000),
   };
 }
 
 /** Waits on the wall clock; used only to spread calls and faults over a run. */
-export function pause(milliseconds: number): Promise<void> {
+export function sleep(milliseconds: number): Promise<void> {
   return new Promise((resolve) => setTimeout(resolve, milliseconds));
 }
--- a/packages/proof/src/scenarios/configuration.ts
+++ b/packages/proof/src/scenarios/configuration.ts
@@ -2,10 +2,10 @@
 import type { Fleet, FleetOptions } from '@poppypond/launch';
 import { z } from 'zod';
 import { checkRevisions } from '../checkers/checkers.js';
-import type { AcceptedRevision, RevisionSeen } from '../history.js';
-import type { Proof } from '../proof.js';
+import type { AcceptedRevision, ObservedRevision } from '../history.js';
+import type { Scenario } from '../proof.js';
 import type { ScenarioRandom } from '../random.js';
-import { pause } from './callers.js';
+import { sleep } from './callers.js';
 import { freeze } from './faults.js';
 
 const FLEET: FleetOptions = {
@@ -18,8 +18,8 @@
 const OPERATORS = 3;
 const CHANGES_EACH = 3;
 /** In force everywhere within seconds. */
-const IN_FORCE_MS = 3000;
-const WATCH_GAP_MS = 40;
+const MAX_ACTIVATION_MS = 3000;
+const POLL_PERIOD_MS = 40;
 const SETTLE_MS = 1200;
 const FAULTS = [
   'store-down',
@@ -35,21 +35,25 @@
   revision: z.number(),
 });
 
-async function watch(fleet: Fleet, seen: RevisionSeen[], isOver: () => boolean): Promise<void> {
+async function observeRevisions(
+  fleet: Fleet,
+  seen: ObservedRevision[],
+  isOver: () => boolean,
+): Promise<void> {
   while (!isOver()) {
     await Promise.all(
       fleet.gateways.map(async (gateway) => {
-        const askedAtMs = performance.now();
+        const requestedAtMs = performance.now();
         const status = statusSchema.safeParse(await getJson(`${gateway.url}/status`));
-        if (status.success) seen.push({ ...status.data, atMs: askedAtMs });
+        if (status.success) seen.push({ ...status.data, atMs: requestedAtMs });
       }),
     );
-    await pause(WATCH_GAP_MS);
+    await sleep(POLL_PERIOD_MS);
   }
 }
 
 /** One operator changes the same few workspaces as the others. */
-async function operate(
+async function applyChanges(
   fleet: Fleet,
   accepted: AcceptedRevision[],
   random: ScenarioRandom,
@@ -60,11 +64,11 @@
     const object = { kind: 'workspace', name, labels: { team: 'assistant' }, spec };
     const revision = await fleet.apply([object], 'race').catch(() => undefined);
     if (revision !== undefined) accepted.push({ atMs: performance.now(), revision });
-    await pause(random.between(0, 150));
+    await sleep(random.between(0, 150));
   }
 }
 
-async function provoke(
+async function injectFault(
   fleet: Fleet,
   fault: (typeof FAULTS)[number],
   random: ScenarioRandom,
@@ -75,7 +79,7 @@
   switch (fault) {
     case 'store-down':
       await platform({ down: true });
-      await pause(random.between(100, 600));
+      await sleep(random.between(100, 600));
       return platform({ down: false });
     case 'write-answer-lost':
       return platform({ loseWriteAnswers: 1, lostPrefix: 'config/', lostEffectDelayMs: 0 });
@@ -89,36 +93,36 @@
       await platform({ down: true });
       await gateway.kill();
       await fleet.replaceGateway(gateway);
-      await pause(random.between(100, 500));
+      await sleep(random.between(100, 500));
       return platform({ down: false });
   }
 }
 
 /** An accepted configuration is in force on every host within seconds and never reverts. */
-export const configuration: Proof = {
+export const configuration: Scenario = {
   name: 'configuration',
-  promise: 'an accepted configuration is in force everywhere within seconds and never reverts',
+  guarantee: 'an accepted configuration is in force everywhere within seconds and never reverts',
   fleet: FLEET,
   run: async (fleet, random) => {
-    const seen: RevisionSeen[] = [];
+    const seen: ObservedRevision[] = [];
     const accepted: AcceptedRevision[] = [];
     let isOver = false;
-    const watching = watch(fleet, seen, () => isOver);
-    const operating = Array.from({ length: OPERATORS }, () => operate(fleet, accepted, random));
+    const observing = observeRevisions(fleet, seen, () => isOver);
+    const applying = Array.from({ length: OPERATORS }, () => applyChanges(fleet, accepted, random));
     const faults: string[] = [];
     for (let count = random.between(1, 2); count > 0; count -= 1) {
       const fault = random.pick(FAULTS);
       faults.push(fault);
-      await provoke(fleet, fault, random);
+      await injectFault(fleet, fault, random);
     }
-    await Promise.all(operating);
+    await Promise.all(applying);
     await setFaults(fleet.platform.url, { down: false, loseWriteAnswers: 0 });
-    await pause(SETTLE_MS);
+    await sleep(SETTLE_MS);
     await fleet.waitReady();
-    await pause(WATCH_GAP_MS * 2);
+    await sleep(POLL_PERIOD_MS * 2);
     isOver = true;
-    await watching;
-    const violations = checkRevisions(seen, accepted, IN_FORCE_MS);
+    await observing;
+    const violations = checkRevisions(seen, accepted, MAX_ACTIVATION_MS);
     return { faults, codes: accepted.map(() => 'accepted'), violations };
   },
 };
--- a/packages/proof/src/scenarios/controllers.ts
+++ b/packages/proof/src/scenarios/controllers.ts
@@ -3,9 +3,9 @@
 import { SAMPLE_MODEL } from '@poppypond/load';
 import { z } from 'zod';
 import { checkFences, checkNoGap } from '../checkers/checkers.js';
-import type { Proof } from '../proof.js';
+import type { Scenario } from '../proof.js';
 import type { ScenarioRandom } from '../random.js';
-import { pause } from './callers.js';
+import { sleep } from './callers.js';
 import { freeze } from './faults.js';
 
 const FLEET: FleetOptions = {
@@ -29,8 +29,8 @@
   'write-answer-lost',
   'engine-kill',
 ] as const;
-const ROLLED_OUT_MS = 20_000;
-const WATCH_GAP_MS = 30;
+const ROLLOUT_TIMEOUT_MS = 20_000;
+const POLL_PERIOD_MS = 30;
 /** Longer than the lease, so that another holder takes over meanwhile. */
 const LONG_FREEZE_MS = 2500;
 
@@ -42,9 +42,9 @@
   pools: z.array(z.object({ pool: z.string(), fence: z.number().nullable() })),
 });
 
-let versions = 1;
+let lastVersion = 1;
 
-async function versionsHeld(fleet: Fleet): Promise<readonly (string | undefined)[]> {
+async function readModelVersions(fleet: Fleet): Promise<readonly (string | undefined)[]> {
   const loads = await Promise.all(fleet.engines.map(({ url }) => getJson(`${url}/load`)));
   return loads.map((load) => {
     const parsed = loadSchema.safeParse(load);
@@ -53,7 +53,7 @@
 }
 
 /** The controller that holds the engines' lease, if one says so. */
-async function findHolder(fleet: Fleet) {
+async function findLeaseHolder(fleet: Fleet) {
   for (const controller of fleet.controllers) {
     if (controller.hasExited) continue;
     const status = statusSchema.safeParse(await getJson(`${controller.url}/status`));
@@ -63,7 +63,7 @@
   return undefined;
 }
 
-async function provoke(
+async function injectFault(
   fleet: Fleet,
   fault: (typeof FAULTS)[number],
   random: ScenarioRandom,
@@ -72,12 +72,12 @@
     setFaults(fleet.platform.url, faults);
   switch (fault) {
     case 'holder-freeze': {
-      const holder = await findHolder(fleet);
+      const holder = await findLeaseHolder(fleet);
       if (holder) await freeze(holder, LONG_FREEZE_MS);
       return;
     }
     case 'holder-kill': {
-      const holder = await findHolder(fleet);
+      const holder = await findLeaseHolder(fleet);
       if (!holder) return;
       await holder.kill();
       await fleet.startController();
@@ -85,7 +85,7 @@
     }
     case 'store-down':
       await platform({ down: true });
-      await pause(random.between(200, 1500));
+      await sleep(random.between(200, 1500));
       return platform({ down: false });
     case 'write-answer-lost':
       return platform({
@@ -98,7 +98,7 @@
   }
 }
 
-async function fencesByEngine(fleet: Fleet): Promise<ReadonlyMap<string, readonly number[]>> {
+async function readFencesByEngine(fleet: Fleet): Promise<ReadonlyMap<string, readonly number[]>> {
   const truths = await Promise.all(
     fleet.engines.map(async ({ name, url }) => {
       const { followed } = truthSchema.parse(await getJson(`${url}/truth`));
@@ -109,13 +109,14 @@
 }
 
 /** Orders of an older lease are never followed after newer ones, and a rollout leaves no gap. */
-export const fencedOrders: Proof = {
+export const fencedCommands: Scenario = {
   name: 'fenced-orders',
-  promise: 'no engine that checks follows an older order after a newer one; rollouts leave no gap',
+  guarantee:
+    'no engine that checks follows an older order after a newer one; rollouts leave no gap',
   fleet: FLEET,
   run: async (fleet, random) => {
-    versions += 1;
-    const version = String(versions);
+    lastVersion += 1;
+    const version = String(lastVersion);
     const pools = [{ key: 'serves', operator: 'equals', value: 'engines' }];
     await fleet.apply(
       [{ kind: 'model', name: SAMPLE_MODEL, labels: {}, spec: { version, pools } }],
@@ -123,24 +124,29 @@
     );
     const seen: number[] = [];
     let isOver = false;
-    const watching = (async () => {
+    const observing = (async () => {
       while (!isOver) {
-        seen.push((await versionsHeld(fleet)).filter((held) => held !== undefined).length);
-        await pause(WATCH_GAP_MS);
+        seen.push((await readModelVersions(fleet)).filter((held) => held !== undefined).length);
+        await sleep(POLL_PERIOD_MS);
       }
     })();
-    await pause(random.between(0, 400));
+    await sleep(random.between(0, 400));
     const fault = random.pick(FAULTS);
-    await provoke(fleet, fault, random);
+    await injectFault(fleet, fault, random);
     await setFaults(fleet.platform.url, { down: false, loseWriteAnswers: 0 });
-    const isRolledOut = async () => (await versionsHeld(fleet)).every((held) => held === version);
+    const isRolledOut = async () =>
+      (await readModelVersions(fleet)).every((held) => held === version);
     const late: string[] = [];
-    await waitUntil(`version ${version} everywhere`, isRolledOut, ROLLED_OUT_MS).catch(() => {
-      late.push(`version ${version} is not on every engine after ${String(ROLLED_OUT_MS)} ms`);
+    await waitUntil(`version ${version} everywhere`, isRolledOut, ROLLOUT_TIMEOUT_MS).catch(() => {
+      late.push(`version ${version} is not on every engine after ${String(ROLLOUT_TIMEOUT_MS)} ms`);
     });
     isOver = true;
-    await watching;
-    const violations = [...checkFences(await fencesByEngine(fleet)), ...checkNoGap(seen), ...late];
+    await observing;
+    const violations = [
+      ...checkFences(await readFencesByEngine(fleet)),
+      ...checkNoGap(seen),
+      ...late,
+    ];
     return { faults: [fault], codes: ['rolled out'], violations };
   },
 };
--- a/packages/proof/src/scenarios/faults.ts
+++ b/packages/proof/src/scenarios/faults.ts
@@ -2,7 +2,7 @@
 import type { Fleet, FleetServer, RunningProgram } from '@poppypond/launch';
 import { z } from 'zod';
 import type { ScenarioRandom } from '../random.js';
-import { pause } from './callers.js';
+import { sleep } from './callers.js';
 
 /** Faults of engines. */
 export const ENGINE_FAULTS = [
@@ -19,7 +19,7 @@
 /** A fault of an engine. */
 export type EngineFault = (typeof ENGINE_FAULTS)[number];
 
-const HEALTHY = {
+const NO_FAULTS = {
   slowdown: 1,
   cutStreams: 0,
   loseAnswers: 0,
@@ -30,26 +30,30 @@
 };
 
 /** Provokes a fault of an engine; resolves when it is over or set. */
-export async function provokeEngineFault(
+export async function injectEngineFault(
   fleet: Fleet,
   engine: FleetServer,
   fault: EngineFault,
   random: ScenarioRandom,
 ): Promise<void> {
-  const set = (faults: Readonly<Record<string, unknown>>) => setFaults(engine.url, faults);
+  const setEngineFaults = (faults: Readonly<Record<string, unknown>>) =>
+    setFaults(engine.url, faults);
   switch (fault) {
     case 'cut-stream':
-      return set({ cutStreams: random.between(1, 3), cutAfterTokens: random.between(0, 10) });
+      return setEngineFaults({
+        cutStreams: random.between(1, 3),
+        cutAfterTokens: random.between(0, 10),
+      });
     case 'lose-answer':
-      return set({ loseAnswers: random.between(1, 3) });
+      return setEngineFaults({ loseAnswers: random.between(1, 3) });
     case 'refuse':
-      return set({ refuseCalls: random.between(1, 5) });
+      return setEngineFaults({ refuseCalls: random.between(1, 5) });
     case 'repeat-frames':
-      return set({ repeatFrames: random.between(1, 8) });
+      return setEngineFaults({ repeatFrames: random.between(1, 8) });
     case 'engine-pause':
-      return set({ pauseMs: random.between(50, 500) });
+      return setEngineFaults({ pauseMs: random.between(50, 500) });
     case 'engine-slow':
-      return set({ slowdown: random.between(2, 10) });
+      return setEngineFaults({ slowdown: random.between(2, 10) });
     case 'engine-kill':
       await fleet.replaceEngine(engine);
       return;
@@ -61,13 +65,13 @@
 /** Stops a process for a time. */
 export async function freeze(program: RunningProgram, durationMs: number): Promise<void> {
   program.signal('SIGSTOP');
-  await pause(durationMs);
+  await sleep(durationMs);
   program.signal('SIGCONT');
 }
 
 /** Ends all faults of all engines. */
-export async function heal(fleet: Fleet): Promise<void> {
-  await Promise.all(fleet.engines.map((engine) => setFaults(engine.url, HEALTHY)));
+export async function clearEngineFaults(fleet: Fleet): Promise<void> {
+  await Promise.all(fleet.engines.map((engine) => setFaults(engine.url, NO_FAULTS)));
 }
 
 const truthSchema = z.object({
@@ -78,32 +82,32 @@
 });
 
 /** Ground truth of an engine. */
-export async function engineTruth(engine: FleetServer): Promise<z.infer<typeof truthSchema>> {
+export async function readEngineTruth(engine: FleetServer): Promise<z.infer<typeof truthSchema>> {
   return truthSchema.parse(await getJson(`${engine.url}/truth`));
 }
 
 /** Every request that any engine ran, also those that were killed since. */
-export function allRan(fleet: Fleet): ReadonlySet<string> {
+export function allRunRequests(fleet: Fleet): ReadonlySet<string> {
   return new Set(fleet.engines.flatMap((engine) => [...engine.program.ran]));
 }
 
 /** Tokens held by each engine. */
-async function heldByEngine(fleet: Fleet): Promise<ReadonlyMap<string, number>> {
+async function readHeldTokens(fleet: Fleet): Promise<ReadonlyMap<string, number>> {
   const held = await Promise.all(
     fleet.engines.map(
-      async (engine) => [engine.name, (await engineTruth(engine)).heldTokens] as const,
+      async (engine) => [engine.name, (await readEngineTruth(engine)).heldTokens] as const,
     ),
   );
   return new Map(held);
 }
 
 /** Waits until no engine holds memory, at most this long; then says what is still held. */
-export async function heldAfter(
+export async function waitForFreeMemory(
   fleet: Fleet,
   withinMs: number,
 ): Promise<ReadonlyMap<string, number>> {
   const isFree = async () =>
-    [...(await heldByEngine(fleet)).values()].every((tokens) => tokens === 0);
+    [...(await readHeldTokens(fleet)).values()].every((tokens) => tokens === 0);
   await waitUntil('memory is free', isFree, withinMs).catch(() => undefined);
-  return heldByEngine(fleet);
+  return readHeldTokens(fleet);
 }
--- a/packages/proof/src/scenarios/planned.ts
+++ b/packages/proof/src/scenarios/planned.ts
@@ -5,10 +5,10 @@
 import { z } from 'zod';
 import { checkLeaving, checkNoErrors } from '../checkers/checkers.js';
 import type { CompletionCall } from '../history.js';
-import type { Proof } from '../proof.js';
+import type { Scenario } from '../proof.js';
 import type { ScenarioRandom } from '../random.js';
-import { ask, pause } from './callers.js';
-import { engineTruth } from './faults.js';
+import { ask, sleep } from './callers.js';
+import { readEngineTruth } from './faults.js';
 
 const ENGINE_FLAGS = { 'step-base-ms': 1, 'prefill-ms': 0.002, 'kv-tokens': 40_000 };
 const GATEWAY_FLAGS = { 'prefill-tokens-per-ms': 300, 'decode-step-ms': 2, 'step-ms': 4 };
@@ -24,12 +24,12 @@
 
 /** A few seconds, in which a leaving server may still get new work. */
 const LEAVING_ALLOWED_MS = 3000;
-const LEAVING_WATCH_MS = 3800;
+const LEAVING_OBSERVED_MS = 3800;
 const CALL_GAP_MS = 15;
-const STORY_TIMEOUT_MS = 2000;
+const EXPLAIN_TIMEOUT_MS = 2000;
 /** Within what the pool's groups can carry. */
-const REVIEW_SHARE = 0.02;
-const QUESTION = { maxTokens: 16, limitMs: 20_000 };
+const GROUP_PROMPT_SHARE = 0.02;
+const CALL_OPTIONS = { maxTokens: 16, limitMs: 20_000 };
 
 /** Callers that the balancer sends only to gateways that are ready. */
 class Balancer {
@@ -50,7 +50,7 @@
         })),
       );
       this.#ready = checks.filter(({ isReady }) => isReady).map(({ gateway }) => gateway);
-      await pause(CALL_GAP_MS);
+      await sleep(CALL_GAP_MS);
     }
   }
 
@@ -64,23 +64,23 @@
 }
 
 /** Asks short and long questions, one after another, until `isOver`. */
-async function askUntil(
-  choose: () => string,
+async function sendUntil(
+  pickGateway: () => string,
   random: ScenarioRandom,
   isOver: () => boolean,
 ): Promise<readonly CompletionCall[]> {
-  const asking: Promise<CompletionCall>[] = [];
+  const pendingCalls: Promise<CompletionCall>[] = [];
   while (!isOver()) {
-    const isReview = random.chance(REVIEW_SHARE);
-    const promptTokens = isReview ? random.between(45_000, 90_000) : random.between(200, 3000);
-    asking.push(ask({ gateway: choose(), promptTokens, ...QUESTION }, random));
-    await pause(CALL_GAP_MS);
+    const needsGroup = random.chance(GROUP_PROMPT_SHARE);
+    const promptTokens = needsGroup ? random.between(45_000, 90_000) : random.between(200, 3000);
+    pendingCalls.push(ask({ gateway: pickGateway(), promptTokens, ...CALL_OPTIONS }, random));
+    await sleep(CALL_GAP_MS);
   }
-  return Promise.all(asking);
+  return Promise.all(pendingCalls);
 }
 
 /** Lets an engine leave, waits until it is idle, ends it, and starts another in its place. */
-async function replaceEnginePlanned(fleet: Fleet, random: ScenarioRandom): Promise<void> {
+async function replaceEngineGracefully(fleet: Fleet, random: ScenarioRandom): Promise<void> {
   const engine = random.pick(fleet.engines);
   await setFaults(engine.url, { leaving: true });
   const loadSchema = z.object({ running: z.number(), waiting: z.number(), heldTokens: z.number() });
@@ -92,7 +92,7 @@
 }
 
 /** Stops a gateway as a planned stop does; its replacement serves first. */
-async function replaceGatewayPlanned(fleet: Fleet, random: ScenarioRandom): Promise<void> {
+async function replaceGatewayGracefully(fleet: Fleet, random: ScenarioRandom): Promise<void> {
   const gateway = random.pick(fleet.gateways);
   await fleet.replaceGateway(gateway);
   await fleet.waitReady();
@@ -102,44 +102,46 @@
 }
 
 /** What a gateway can say of how a request was decided, for tracing a violation. */
-async function storyOf(fleet: Fleet, requestId: string): Promise<string> {
-  const stories = await Promise.all(
+async function explainRequest(fleet: Fleet, requestId: string): Promise<string> {
+  const replies = await Promise.all(
     fleet.gateways.map((gateway) =>
       callHttp({
         method: 'GET',
         url: `${gateway.url}/explain/${encodeURIComponent(requestId)}?local=1`,
         headers: { authorization: `Bearer ${SAMPLE_OPERATOR_KEY}` },
-        timeoutMs: STORY_TIMEOUT_MS,
+        timeoutMs: EXPLAIN_TIMEOUT_MS,
       }),
     ),
   );
-  return stories.map((story) => (story.isOk ? story.value.body : story.error.detail)).join('\n');
+  return replies.map((story) => (story.isOk ? story.value.body : story.error.detail)).join('\n');
 }
 
 /** A planned stop of an engine or host cuts off no request in progress. */
-export const plannedStop: Proof = {
+export const plannedStop: Scenario = {
   name: 'planned-stop',
-  promise: 'a planned stop cuts off no request in progress',
+  guarantee: 'a planned stop cuts off no request in progress',
   fleet: FLEET,
   run: async (fleet, random) => {
     const balancer = new Balancer(fleet);
     let isOver = false;
-    const asking = askUntil(
+    const sending = sendUntil(
       () => balancer.choose(random),
       random,
       () => isOver,
     );
     const isEngine = random.chance(0.5);
-    await pause(random.between(50, 200));
-    if (isEngine) await replaceEnginePlanned(fleet, random);
-    else await replaceGatewayPlanned(fleet, random);
+    await sleep(random.between(50, 200));
+    if (isEngine) await replaceEngineGracefully(fleet, random);
+    else await replaceGatewayGracefully(fleet, random);
     isOver = true;
-    const calls = await asking;
+    const calls = await sending;
     balancer.stop();
     await fleet.waitReady();
     const refused = calls.filter(({ code }) => code !== 'ok');
-    const stories = await Promise.all(refused.map(({ requestId }) => storyOf(fleet, requestId)));
-    for (const story of stories) process.stderr.write(`${story}\n`);
+    const explanations = await Promise.all(
+      refused.map(({ requestId }) => explainRequest(fleet, requestId)),
+    );
+    for (const story of explanations) process.stderr.write(`${story}\n`);
     const faults = [isEngine ? 'engine-planned-stop' : 'gateway-planned-stop'];
     return { faults, codes: calls.map(({ code }) => code), violations: checkNoErrors(calls) };
   },
@@ -149,28 +151,42 @@
   return [...items.slice(by), ...items.slice(0, by)];
 }
 
-async function listAs(fleet: Fleet, host: string, state: 'leaving' | 'live'): Promise<void> {
+async function setListedState(
+  fleet: Fleet,
+  host: string,
+  state: 'leaving' | 'live',
+): Promise<void> {
   const body = JSON.stringify({ host, state });
   await callHttp({ method: 'POST', url: `${fleet.platform.url}/hosts`, body, timeoutMs: 2000 });
 }
 
 /** A leaving backend server receives no new work after a few seconds. */
-export const leavingServer: Proof = {
+export const leavingServer: Scenario = {
   name: 'leaving-server',
-  promise: 'a leaving backend server receives no new work after a few seconds',
+  guarantee: 'a leaving backend server receives no new work after a few seconds',
   fleet: FLEET,
   run: async (fleet, random) => {
-    const [byWord, byList] = rotate(fleet.engines, random.between(0, fleet.engines.length - 1));
-    if (!byWord || !byList) throw new Error('too few engines');
+    const [selfReported, listedLeaving] = rotate(
+      fleet.engines,
+      random.between(0, fleet.engines.length - 1),
+    );
+    if (!selfReported || !listedLeaving) throw new Error('too few engines');
     const sinceMs = Date.now();
-    await setFaults(byWord.url, { leaving: true });
-    await listAs(fleet, byList.name, 'leaving');
-    const choose = () => random.pick(fleet.gateways).url;
-    const calls = await askUntil(choose, random, () => Date.now() - sinceMs > LEAVING_WATCH_MS);
-    const truths = await Promise.all([engineTruth(byWord), engineTruth(byList)]);
+    await setFaults(selfReported.url, { leaving: true });
+    await setListedState(fleet, listedLeaving.name, 'leaving');
+    const pickGateway = () => random.pick(fleet.gateways).url;
+    const calls = await sendUntil(
+      pickGateway,
+      random,
+      () => Date.now() - sinceMs > LEAVING_OBSERVED_MS,
+    );
+    const truths = await Promise.all([
+      readEngineTruth(selfReported),
+      readEngineTruth(listedLeaving),
+    ]);
     const starts = truths.flatMap(({ runs }) => runs.map((run) => run.startedAtMs));
-    await listAs(fleet, byList.name, 'live');
-    await setFaults(byWord.url, { leaving: false });
+    await setListedState(fleet, listedLeaving.name, 'live');
+    await setFaults(selfReported.url, { leaving: false });
     const faults = ['leaving-by-own-word', 'leaving-by-late-list'];
     const violations = [
       ...checkLeaving(starts, sinceMs, LEAVING_ALLOWED_MS),
--- a/packages/proof/src/sweep-fuzz.test.ts
+++ b/packages/proof/src/sweep-fuzz.test.ts
@@ -33,11 +33,11 @@
   host: fc.integer({ min: 0, max: HOSTS - 1 }),
   tokens: fc.integer({ min: 1, max: 40_000 }),
   limitMs: fc.integer({ min: 1000, max: 60_000 }),
-  byMs: fc.integer({ min: 0, max: 8000 }),
+  advanceMs: fc.integer({ min: 0, max: 8000 }),
 });
 
 /** Hosts reserve, pause, wake and are replaced while a sweep looks. */
-class World {
+class SweepSimulation {
   readonly clock = new ManualClock();
   readonly memory = new KvMemory(CAPACITY, this.clock, () => undefined);
   readonly hosts: HostRun[] = Array.from({ length: HOSTS }, (_, index) => ({
@@ -45,11 +45,11 @@
     isPaused: false,
     claims: new Map(),
   }));
-  readonly robbed: string[] = [];
-  #runs = 0;
-  #before = new Map<string, ReturnType<World['list']>[number]>();
+  readonly releasedInUse: string[] = [];
+  #replacements = 0;
+  #lastPass = new Map<string, ReturnType<SweepSimulation['list']>[number]>();
 
-  constructor(readonly judge: typeof findReleaseReason) {}
+  constructor(readonly findReason: typeof findReleaseReason) {}
 
   list() {
     const now = this.clock.monotonicMs();
@@ -74,27 +74,27 @@
   }
 
   sweep(): void {
-    const seen = new Map<string, ReturnType<World['list']>[number]>();
+    const seen = new Map<string, ReturnType<SweepSimulation['list']>[number]>();
     for (const held of this.list()) {
       if (held.ttlMs > 0) continue;
       seen.set(held.id, held);
-      if (!isUnchanged(this.#before.get(held.id), held)) continue;
+      if (!isUnchanged(this.#lastPass.get(held.id), held)) continue;
       const host = this.hosts.find(({ owner }) => held.owner.startsWith(`${owner.host}/`));
       const answer =
         host && !host.isPaused
           ? { owner: host.owner, isClaimed: host.claims.has(held.id) }
           : undefined;
-      if (!this.judge(held, answer)) continue;
+      if (!this.findReason(held, answer)) continue;
       const isNeeded = this.hosts.some(
         ({ owner, claims }) => formatOwner(owner) === held.owner && claims.has(held.id),
       );
-      if (isNeeded && held.timeRemainingMs > 0) this.robbed.push(held.id);
+      if (isNeeded && held.timeRemainingMs > 0) this.releasedInUse.push(held.id);
       this.memory.release(held.id);
     }
-    this.#before = seen;
+    this.#lastPass = seen;
   }
 
-  async play({ kind, host: index, tokens, limitMs, byMs }: SweepStep): Promise<void> {
+  async runStep({ kind, host: index, tokens, limitMs, advanceMs: byMs }: SweepStep): Promise<void> {
     const host = this.hosts[index];
     if (!host) return;
     if (kind === 'sweep') this.sweep();
@@ -116,8 +116,8 @@
     if (kind === 'pause') host.isPaused = true;
     if (kind === 'wake') host.isPaused = false;
     if (kind === 'replace') {
-      this.#runs += 1;
-      host.owner = { ...host.owner, incarnation: `i${String(this.#runs)}` };
+      this.#replacements += 1;
+      host.owner = { ...host.owner, incarnation: `i${String(this.#replacements)}` };
       host.claims.clear();
       host.isPaused = false;
     }
@@ -126,21 +126,21 @@
   }
 }
 
-function sweepProperty(judge: typeof findReleaseReason) {
+function sweepProperty(findReason: typeof findReleaseReason) {
   return fc.asyncProperty(fc.array(step, { maxLength: 50 }), async (steps) => {
-    const world = new World(judge);
-    for (const one of steps) {
-      await world.play(one);
-      expect(world.memory.heldTokens).toBeLessThanOrEqual(CAPACITY);
-      expect(world.robbed).toEqual([]);
+    const simulation = new SweepSimulation(findReason);
+    for (const nextStep of steps) {
+      await simulation.runStep(nextStep);
+      expect(simulation.memory.heldTokens).toBeLessThanOrEqual(CAPACITY);
+      expect(simulation.releasedInUse).toEqual([]);
     }
-    for (const host of world.hosts) host.isPaused = false;
-    for (let looks = 0; looks < 12; looks += 1) {
-      await world.clock.advance(6000);
-      world.renewAll();
-      world.sweep();
+    for (const host of simulation.hosts) host.isPaused = false;
+    for (let passes = 0; passes < 12; passes += 1) {
+      await simulation.clock.advance(6000);
+      simulation.renewAll();
+      simulation.sweep();
     }
-    expect(world.memory.heldTokens).toBe(0);
+    expect(simulation.memory.heldTokens).toBe(0);
   });
 }
 
@@ -150,10 +150,10 @@
   });
 
   it('is found out when it takes silence for death', async () => {
-    const planted = await fc.check(
+    const result = await fc.check(
       sweepProperty((held) => findReleaseReason(held, undefined) ?? 'owner_disclaims'),
       { seed: 61, numRuns: 3000 },
     );
-    expect(planted.failed).toBe(true);
+    expect(result.failed).toBe(true);
   });
 });
--- a/packages/proof/src/whole-path.test.ts
+++ b/packages/proof/src/whole-path.test.ts
@@ -58,12 +58,12 @@
         ? { id: 'host-1.0.000000000000', index: 4 }
         : { id: requestId, index: lastIndex };
     const headers = { 'last-event-id': `${after.id}:${String(after.index)}` };
-    const rest = await callStream({ ...call, url: gatewayUrl(1), headers });
-    expect(rest.code).toBe('ok');
-    const whole = expectedAnswer(prompt, 16);
-    expect(whole.endsWith(rest.text)).toBe(true);
-    if (lastIndex >= 0) expect(text + rest.text).toBe(whole);
-    expect(rest.tokens).toBe(15 - after.index);
+    const remainder = await callStream({ ...call, url: gatewayUrl(1), headers });
+    expect(remainder.code).toBe('ok');
+    const completeAnswer = expectedAnswer(prompt, 16);
+    expect(completeAnswer.endsWith(remainder.text)).toBe(true);
+    if (lastIndex >= 0) expect(text + remainder.text).toBe(completeAnswer);
+    expect(remainder.tokens).toBe(15 - after.index);
   });
 
   it('says why, at another host than the one that decided', async () => {
