--- a/packages/measure/src/capacity.ts
+++ b/packages/measure/src/capacity.ts
@@ -27,7 +27,7 @@
 const FAST_ENGINE = { 'step-base-ms': 2, 'prefill-ms': 0.001, 'decode-ms': 0, 'max-running': 2000 };
 const FAST_GATEWAY = { 'prefill-tokens-per-ms': 500, 'decode-step-ms': 3 };
 
-/** Spending of an idle gateway that watches this many engines. */
+/** Measures the resources that an idle gateway uses while it watches `count` engines. */
 async function measureWithEngines(count: number): Promise<GatewayUsage> {
   const lightEngines = new LightEngines();
   await lightEngines.start(count);
@@ -48,7 +48,7 @@
   }
 }
 
-/** Spending of an idle gateway with this many links to peers. */
+/** Measures the resources that an idle gateway uses with links to `count` peers. */
 async function measureWithPeers(count: number): Promise<GatewayUsage> {
   const gatewayFlags = { 'fan-out': 100 };
   const fleet = await Fleet.start({ gateways: 1, engines: 0, services: 0, gatewayFlags });
@@ -79,7 +79,10 @@
   );
 }
 
-/** Percent of a core at each rate and at each answer length, on one gateway. */
+/**
+ * Measures the processor use of one gateway, in percent of a core, by request rate and by answer
+ * length.
+ */
 async function measureRequestSlopes(): Promise<readonly Slope[]> {
   const fleet = await Fleet.start({
     gateways: 1,
@@ -116,7 +119,7 @@
   }
 }
 
-/** Resident memory of a gateway with this many streams open at once. */
+/** Measures the resident memory of one gateway by number of streams that are open at once. */
 async function measureStreamSlope(): Promise<Slope> {
   const fleet = await Fleet.start({
     gateways: 1,
@@ -170,7 +173,10 @@
   );
 }
 
-/** Milliseconds that a gateway's loop is held by one change, by the number of objects. */
+/**
+ * Returns the median time in milliseconds for which one change blocks a gateway's event loop, with
+ * a configuration of `count` objects.
+ */
 function medianChangeMs(count: number): number {
   const configuration = sampleConfiguration(count);
   const stored = configuration.objects.get('key/key-1');
@@ -231,7 +237,7 @@
   ];
 }
 
-/** Measures every slope that docs/CAPACITY.md uses. */
+/** Measures all slopes that docs/CAPACITY.md uses. */
 export async function measureCapacity(options: {
   readonly json: string | undefined;
 }): Promise<void> {
--- a/packages/measure/src/capacity/fit.ts
+++ b/packages/measure/src/capacity/fit.ts
@@ -1,18 +1,18 @@
-/** One measured size and its value. */
+/** A value measured at one size. */
 export interface Point {
   readonly size: number;
   readonly value: number;
 }
 
-/** A straight line through points. */
+/** A straight line fitted to points. */
 export interface Fit {
   readonly slope: number;
   readonly intercept: number;
-  /** Root of the mean squared distance from the line, in the unit of the values. */
+  /** Root mean square distance of the points from the line, in the unit of the values. */
   readonly error: number;
 }
 
-/** Least squares. */
+/** Fits a line by least squares. The slope is 0 if all points have the same size. */
 export function fitLine(points: readonly Point[]): Fit {
   const count = points.length;
   const meanSize = points.reduce((sum, { size }) => sum + size, 0) / count;
--- a/packages/measure/src/capacity/gateway-probe.ts
+++ b/packages/measure/src/capacity/gateway-probe.ts
@@ -7,10 +7,10 @@
   process: z.object({ rssBytes: z.number(), heapBytes: z.number(), cpuMicroseconds: z.number() }),
 });
 
-/** What a gateway spent in a time. */
+/** Resources that a gateway used over a period. */
 export interface GatewayUsage {
   readonly seconds: number;
-  /** Share of one core, in percent. */
+  /** Processor time in percent of one core. */
   readonly corePercent: number;
   readonly peerBytesPerSecond: number;
   readonly readsPerSecond: number;
@@ -22,7 +22,7 @@
 const BYTES_PER_MB = 1e6;
 const MICROSECONDS_PER_PERCENT = 1e4;
 
-/** Watches one gateway while `during` runs. */
+/** Measures the resources that one gateway uses while `during` runs. */
 export async function measureGatewayUsage(
   url: string,
   during: () => Promise<unknown>,
@@ -48,7 +48,7 @@
   };
 }
 
-/** Waits on the wall clock while something is watched. */
+/** Returns a function that resolves after a real time, during which a gateway can be measured. */
 export function idleFor(milliseconds: number): () => Promise<void> {
   return () => new Promise((resolve) => setTimeout(resolve, milliseconds));
 }
--- a/packages/measure/src/capacity/light-engines.ts
+++ b/packages/measure/src/capacity/light-engines.ts
@@ -4,7 +4,7 @@
 
 const REPORT_PERIOD_MS = 100;
 
-/** Engines that only report their load; many fit into one process. */
+/** Fake engines that only report their load, so that many run in one process. */
 export class LightEngines {
   readonly servers: ListeningServer[] = [];
   readonly #feeds = new Set<ServerResponse>();
--- a/packages/measure/src/capacity/light-peers.ts
+++ b/packages/measure/src/capacity/light-peers.ts
@@ -8,7 +8,7 @@
   readonly server: ListeningServer;
 }
 
-/** Peers that only keep up membership; many fit into one process. */
+/** Peers that only take part in the membership protocol, so that many run in one process. */
 export class LightPeers {
   readonly #peers: LightPeer[] = [];
   readonly #clock = new SystemClock();
--- a/packages/measure/src/capacity/slope-chart.ts
+++ b/packages/measure/src/capacity/slope-chart.ts
@@ -32,7 +32,7 @@
   ].join('');
 }
 
-/** Every slope with its points and line, as SVG. */
+/** Renders all slopes as SVG, each with its points and fitted line. */
 export function renderSlopeChart(slopes: readonly Slope[]): string {
   const rows = Math.ceil(slopes.length / COLUMNS);
   return (
--- a/packages/measure/src/capacity/slope.ts
+++ b/packages/measure/src/capacity/slope.ts
@@ -2,7 +2,7 @@
 import { fitLine } from './fit.js';
 import type { Fit, Point } from './fit.js';
 
-/** A measured slope. */
+/** A value measured at several sizes, with the line fitted to it. */
 export interface Slope {
   readonly name: string;
   readonly perWhat: string;
@@ -11,7 +11,7 @@
   readonly fit: Fit;
 }
 
-/** Measures a value at several sizes, fits a line and prints both. */
+/** Measures a value at each size, fits a line, and prints the line and the points. */
 export async function measureSlope(
   name: string,
   perWhat: string,
@@ -24,7 +24,7 @@
   return fitSlope(name, perWhat, unit, points);
 }
 
-/** Fits a line through points that are already measured, and prints it. */
+/** Fits a line to points that are already measured, and prints the line and the points. */
 export function fitSlope(
   name: string,
   perWhat: string,
@@ -35,7 +35,7 @@
   const pointTexts = points.map(({ size, value }) => `${String(size)}: ${value.toPrecision(4)}`);
   print(
     `${name}: ${fit.slope.toPrecision(3)} ${unit} per ${perWhat}, ` +
-      `${fit.intercept.toPrecision(3)} at none, error ${fit.error.toPrecision(2)} (${pointTexts.join(', ')})`,
+      `${fit.intercept.toPrecision(3)} at size 0, RMS error ${fit.error.toPrecision(2)} (${pointTexts.join(', ')})`,
   );
   return { name, perWhat, unit, points, fit };
 }
--- a/packages/measure/src/chart.ts
+++ b/packages/measure/src/chart.ts
@@ -62,7 +62,7 @@
   ].join('');
 }
 
-/** Time to first token by prompt length, a colour for each way to place, as SVG. */
+/** Renders the time to first token by prompt length as SVG, with one colour per variant. */
 export function renderChartByLength(byVariant: ReadonlyMap<string, readonly LoadSample[]>): string {
   const parts = [...byVariant].map(([name, samples], index) => {
     const colour = COLOURS[index % COLOURS.length] ?? '#000000';
--- a/packages/measure/src/commands.ts
+++ b/packages/measure/src/commands.ts
@@ -15,19 +15,20 @@
 import { measureOverload } from './overload.js';
 import { measureRelay } from './relay.js';
 
-const json = z.string().optional().describe('file for the figures as JSON');
+const json = z.string().optional().describe('file to which the results are written as JSON');
 
 const mixedCommand = defineCommand({
   path: ['mixed'],
-  description: 'Short and long prompts on one fleet: baselines, poppypond, each mechanism off.',
+  description:
+    'Latency of short and long prompts on one fleet: baselines, poppypond, each mechanism off.',
   shape: {
     json,
-    seeds: listSetting.default(['1', '2', '3']).describe('seeds, comma separated'),
+    seeds: listSetting.default(['1', '2', '3']).describe('seeds of the workload, comma separated'),
     gateways: countSetting.default(3).describe('gateway processes'),
-    engines: countSetting.default(12).describe('engine stand-in processes'),
-    requestsPerSecond: numberSetting.default(70).describe('mean rate of arrivals'),
-    durationMs: millisecondsSetting.default(15_000).describe('time over which requests arrive'),
-    variants: listSetting.default([]).describe('only these; default all'),
+    engines: countSetting.default(12).describe('fake engine processes'),
+    requestsPerSecond: numberSetting.default(70).describe('mean requests per second'),
+    durationMs: millisecondsSetting.default(15_000).describe('period over which requests arrive'),
+    variants: listSetting.default([]).describe('variants to run, comma separated; all if empty'),
   },
   main: async (settings) => {
     await measureMixed({ ...settings, seeds: settings.seeds.map(Number), json: settings.json });
@@ -37,12 +38,12 @@
 
 const relayCommand = defineCommand({
   path: ['relay'],
-  description: 'What one gateway adds to the first token, what it carries, and its memory.',
+  description: 'Latency that one gateway adds to the first token, and its throughput and memory.',
   shape: {
     json,
     seed: countSetting.default(1).describe('seed of the prompts'),
-    durationMs: millisecondsSetting.default(60_000).describe('time at full rate'),
-    requestsPerSecond: numberSetting.default(500).describe('streamed requests a second'),
+    durationMs: millisecondsSetting.default(60_000).describe('duration at the full rate'),
+    requestsPerSecond: numberSetting.default(500).describe('streamed requests per second'),
   },
   main: async (settings) => {
     await measureRelay({ ...settings, json: settings.json });
@@ -52,7 +53,7 @@
 
 const decisionCommand = defineCommand({
   path: ['decision'],
-  description: 'What one placement decision costs, by number of replicas.',
+  description: 'Duration of one placement decision, by number of replicas.',
   shape: {},
   main: () => {
     measureDecisionCost();
@@ -62,14 +63,15 @@
 
 const overloadCommand = defineCommand({
   path: ['overload'],
-  description: 'What is answered in time as load rises to three times what the fleet carries.',
+  description:
+    'Goodput and late answers as the load rises to three times what the fleet can serve.',
   shape: {
     json,
     seed: countSetting.default(1).describe('seed of the workload'),
     gateways: countSetting.default(3).describe('gateway processes'),
-    engines: countSetting.default(6).describe('engine stand-in processes'),
-    requestsPerSecond: numberSetting.default(80).describe('rate that counts as load 1'),
-    durationMs: millisecondsSetting.default(10_000).describe('time at each load'),
+    engines: countSetting.default(6).describe('fake engine processes'),
+    requestsPerSecond: numberSetting.default(80).describe('requests per second at load 1'),
+    durationMs: millisecondsSetting.default(10_000).describe('duration at each load'),
   },
   main: async (settings) => {
     await measureOverload({ ...settings, json: settings.json });
@@ -79,10 +81,10 @@
 
 const limitsCommand = defineCommand({
   path: ['limits'],
-  description: 'How much of a limit is usable when one host gets all of the traffic.',
+  description: 'Share of a limit that can be used when one host receives all of the traffic.',
   shape: {
     gateways: countSetting.default(9).describe('gateway processes'),
-    durationMs: millisecondsSetting.default(15_000).describe('time of each part'),
+    durationMs: millisecondsSetting.default(15_000).describe('duration of each of the two phases'),
   },
   main: async (settings) => {
     await measureLimits(settings);
@@ -92,10 +94,10 @@
 
 const configurationCommand = defineCommand({
   path: ['configuration'],
-  description: 'Time until a change is in force on every gateway, with races, kills and outages.',
+  description: 'Time until a change is active on every gateway, with conflicts, kills and outages.',
   shape: {
     gateways: countSetting.default(9).describe('gateway processes'),
-    changes: countSetting.default(200).describe('changes in all'),
+    changes: countSetting.default(200).describe('number of changes'),
     seed: countSetting.default(1).describe('seed of the changes'),
   },
   main: async (settings) => {
@@ -106,7 +108,7 @@
 
 const capacityCommand = defineCommand({
   path: ['capacity'],
-  description: 'Slopes of state, messages, processor time and memory, for docs/CAPACITY.md.',
+  description: 'Growth of store reads, messages, processor time and memory, for docs/CAPACITY.md.',
   shape: { json },
   main: async (settings) => {
     await measureCapacity({ json: settings.json });
@@ -114,13 +116,13 @@
   },
 });
 
-/** Ends the process although connections are kept open for reuse. */
+/** Exits the process although connections are kept open for reuse, and returns the exit code 0. */
 function done(): number {
   setImmediate(() => process.exit(0));
   return 0;
 }
 
-/** The measurements. */
+/** Commands of the program `measure`, one per measurement. */
 export const measureCommands: readonly ProgramCommand[] = [
   mixedCommand,
   relayCommand,
--- a/packages/measure/src/configuration.ts
+++ b/packages/measure/src/configuration.ts
@@ -4,7 +4,7 @@
 import { z } from 'zod';
 import { print } from './report.js';
 
-/** How the configuration measurement is run. */
+/** Options of the configuration measurement. */
 export interface ConfigurationOptions {
   readonly gateways: number;
   readonly changes: number;
@@ -15,7 +15,10 @@
 const POLL_MS = 10;
 const MAX_WAIT_MS = 15_000;
 const MS_PER_SECOND = 1000;
-/** One gateway is ended and replaced, and the store is down for a while, this often. */
+/**
+ * Accepted changes between two fault rounds. In each round one gateway is killed and replaced, and
+ * the store is then down for OUTAGE_MS.
+ */
 const CHANGES_PER_FAULT = 40;
 const OUTAGE_MS = 500;
 
@@ -26,7 +29,11 @@
   return new Promise((resolve) => setTimeout(resolve, milliseconds));
 }
 
-/** Time until each of these gateways has the revision in force. */
+/**
+ * Returns the time in milliseconds from `acceptedAt` until the revision is active on each gateway:
+ * 0 for a gateway that has exited, more than MAX_WAIT_MS for one that is still without the revision
+ * after that time.
+ */
 async function measureActivationMs(
   gateways: readonly RunningProgram[],
   revision: number,
@@ -56,7 +63,7 @@
   await setFaults(fleet.platform.url, { down: false });
 }
 
-/** Measures the time from acceptance of a change until every gateway has it in force. */
+/** Measures the time from the acceptance of a change until it is active on every gateway. */
 export async function measureConfiguration(options: ConfigurationOptions): Promise<void> {
   const random = seededRandom(options.seed);
   const fleet = await Fleet.start({
@@ -107,13 +114,13 @@
     const formatPercentile = (fraction: number) =>
       (activationMs[Math.floor((activationMs.length - 1) * fraction)] ?? 0).toFixed(0);
     print(
-      `${String(accepted)} changes accepted and ${String(refused)} refused by races and outages, ${String(OPERATORS)} operators on one object, ${String(faultRounds)} kills and outages, ${String(options.gateways)} gateways`,
+      `${String(accepted)} changes accepted and ${String(refused)} refused because of conflicts and outages, ${String(OPERATORS)} operators on one object, ${String(faultRounds)} rounds of a kill and an outage, ${String(options.gateways)} gateways`,
     );
     print(
-      `in force after: p50 ${formatPercentile(0.5)} ms, p99 ${formatPercentile(0.99)} ms, longest ${formatPercentile(1)} ms (target p99 2000)`,
+      `active after: p50 ${formatPercentile(0.5)} ms, p99 ${formatPercentile(0.99)} ms, longest ${formatPercentile(1)} ms (target p99 2000)`,
     );
     print(
-      `platform: ${((after.reads - before.reads) / seconds).toFixed(1)} reads and ${((after.writes - before.writes) / seconds).toFixed(1)} writes a second over ${seconds.toFixed(0)} s; ${((after.writes - before.writes) / accepted).toFixed(1)} writes for each change`,
+      `platform: ${((after.reads - before.reads) / seconds).toFixed(1)} reads and ${((after.writes - before.writes) / seconds).toFixed(1)} writes per second over ${seconds.toFixed(0)} s; ${((after.writes - before.writes) / accepted).toFixed(1)} writes per change`,
     );
   } finally {
     await fleet.stop();
--- a/packages/measure/src/decision-cost.ts
+++ b/packages/measure/src/decision-cost.ts
@@ -41,7 +41,10 @@
   };
 }
 
-/** Microseconds of each decision over this many replicas. */
+/**
+ * Returns the duration in microseconds of each decision over `replicas` replicas, without those of
+ * the warm-up.
+ */
 export function timeDecisions(replicas: number): readonly number[] {
   const random = seededRandom(replicas);
   const states = engines(replicas, random);
@@ -58,7 +61,10 @@
   return times;
 }
 
-/** Prints what one decision costs at several sizes. */
+/**
+ * Prints the median and the 99th percentile of the duration of one decision for several numbers of
+ * replicas.
+ */
 export function measureDecisionCost(): void {
   for (const replicas of REPLICA_COUNTS) {
     const times = [...timeDecisions(replicas)].sort((a, b) => a - b);
--- a/packages/measure/src/limits.ts
+++ b/packages/measure/src/limits.ts
@@ -3,7 +3,7 @@
 import { z } from 'zod';
 import { print } from './report.js';
 
-/** How the limits measurement is run. */
+/** Options of the limits measurement. */
 export interface LimitsOptions {
   readonly gateways: number;
   readonly durationMs: number;
@@ -13,7 +13,7 @@
 const BURST_UNITS = 40_000;
 const PROMPT_TOKENS = 900;
 const MAX_TOKENS = 4;
-/** Prompt tokens and five times the output. */
+/** Cost of one request: its prompt tokens plus five times its output tokens. */
 const UNITS_PER_REQUEST = PROMPT_TOKENS + 5 * MAX_TOKENS;
 const OFFERED_FACTOR = 3;
 const MS_PER_SECOND = 1000;
@@ -26,7 +26,7 @@
   readonly isOk: boolean;
 }
 
-/** Offers three times the limit through the gateways that `choose` names. */
+/** Sends requests at three times the limit, to the gateways at `urls` in turn. */
 async function offerLoad(
   urls: readonly string[],
   durationMs: number,
@@ -62,7 +62,9 @@
   return (ok * UNITS_PER_REQUEST * MS_PER_SECOND) / (toMs - fromMs);
 }
 
-/** Measures how much of a limit is usable when one host gets all of a workspace's traffic. */
+/**
+ * Measures the share of a limit that can be used when one host receives all traffic of a workspace.
+ */
 export async function measureLimits(options: LimitsOptions): Promise<void> {
   const budget = { unitsPerSecond: UNITS_PER_SECOND, burstUnits: BURST_UNITS };
   const fleet = await Fleet.start({
@@ -80,7 +82,7 @@
     const evenlySent = await offerLoad(urls, options.durationMs);
     const evenRate = spentUnitsPerSecond(evenlySent, REBALANCE_MS, options.durationMs);
     print(
-      `arrivals at all ${String(urls.length)} hosts: ${(evenRate / UNITS_PER_SECOND).toFixed(3)} of the limit used`,
+      `requests to all ${String(urls.length)} hosts: ${(evenRate / UNITS_PER_SECOND).toFixed(3)} of the limit used`,
     );
     const totalUnits =
       spentUnitsPerSecond(evenlySent, 0, options.durationMs) * (options.durationMs / MS_PER_SECOND);
@@ -94,10 +96,10 @@
     const earlyRate = spentUnitsPerSecond(sentToOneHost, 0, REBALANCE_MS);
     const oneHostRate = spentUnitsPerSecond(sentToOneHost, REBALANCE_MS, options.durationMs);
     print(
-      `all arrivals at one host: ${(oneHostRate / UNITS_PER_SECOND).toFixed(3)} of the limit used (target 0.9); ${(earlyRate / UNITS_PER_SECOND).toFixed(3)} in the first ${String(REBALANCE_MS)} ms`,
+      `all requests to one host: ${(oneHostRate / UNITS_PER_SECOND).toFixed(3)} of the limit used (target 0.9); ${(earlyRate / UNITS_PER_SECOND).toFixed(3)} in the first ${String(REBALANCE_MS)} ms`,
     );
     const writes = (after.writes - before.writes) / (options.durationMs / MS_PER_SECOND);
-    print(`the platform took ${writes.toFixed(1)} writes a second meanwhile`);
+    print(`the platform received ${writes.toFixed(1)} writes per second in this phase`);
   } finally {
     await fleet.stop();
   }
--- a/packages/measure/src/mixed.ts
+++ b/packages/measure/src/mixed.ts
@@ -6,7 +6,7 @@
 import { renderChartByLength } from './chart.js';
 import { markdownTable, median, print, writeReport } from './report.js';
 
-/** How the mixed measurement is run. */
+/** Options of the mixed measurement. */
 export interface MixedOptions {
   readonly seeds: readonly number[];
   readonly gateways: number;
@@ -17,7 +17,9 @@
   readonly json: string | undefined;
 }
 
-/** One way to place requests. */
+/**
+ * A placement policy to compare: a baseline, poppypond, or poppypond without one of its mechanisms.
+ */
 interface Variant {
   readonly name: string;
   readonly isBaseline: boolean;
@@ -28,7 +30,10 @@
   readonly seed: number;
   readonly alone: LoadSummary;
   readonly mixed: LoadSummary;
-  /** p99 of short requests with long ones, over the same without. */
+  /**
+   * Ratio of the p99 time to first token of short requests with long requests present to that
+   * without.
+   */
   readonly slowdown: number;
   readonly heldAfterTokens: number;
 }
@@ -41,7 +46,7 @@
 
 const TIME_LIMIT_MS = 60_000;
 
-/** One engine prefills about 170 tokens a millisecond. */
+/** With these flags one engine prefills about 170 tokens per millisecond. */
 const ENGINE_FLAGS: Flags = { 'step-base-ms': 4, 'prefill-ms': 0.004, 'decode-ms': 0.02 };
 
 const GATEWAY_FLAGS: Flags = {
@@ -164,12 +169,12 @@
     const long = longPromptMs / medianOf(baseline, (run) => run.mixed.longestTenth.p50);
     print(
       `against ${baseline.name}: slowdown ${slowdownRatio.toFixed(2)} times lower, ` +
-        `longest tenth ${long.toFixed(2)} times its time`,
+        `time to first token of the longest tenth ${long.toFixed(2)} times as long`,
     );
   }
 }
 
-/** Measures short and long prompts on one fleet, for each way to place them. */
+/** Measures the latency of short and long prompts on one fleet, for each variant. */
 export async function measureMixed(options: MixedOptions): Promise<void> {
   const variants = VARIANTS.filter(
     ({ name }) => options.variants.length === 0 || options.variants.includes(name),
--- a/packages/measure/src/overload.ts
+++ b/packages/measure/src/overload.ts
@@ -3,12 +3,12 @@
 import type { LoadSample } from '@poppypond/load';
 import { markdownTable, print, writeReport } from './report.js';
 
-/** How the overload measurement is run. */
+/** Options of the overload measurement. */
 export interface OverloadOptions {
   readonly seed: number;
   readonly engines: number;
   readonly gateways: number;
-  /** The rate that counts as load 1. */
+  /** Request rate at load 1. */
   readonly requestsPerSecond: number;
   readonly durationMs: number;
   readonly json: string | undefined;
@@ -20,7 +20,10 @@
 const ENGINE_FLAGS = { 'step-base-ms': 4, 'prefill-ms': 0.004, 'decode-ms': 0.02 };
 const GATEWAY_FLAGS = { 'prefill-tokens-per-ms': 170, 'step-ms': 12, 'decode-step-ms': 12 };
 
-/** Prompt tokens a second of the requests that were answered whole, while requests arrived. */
+/**
+ * Prompt tokens of completely answered requests per second of the arrival period. Counts answers
+ * that end at most TIME_LIMIT_MS after that period.
+ */
 function goodput(samples: readonly LoadSample[], durationMs: number): number {
   const answered = samples.filter(
     ({ code, atMs, totalMs }) => code === 'ok' && atMs + totalMs <= durationMs + TIME_LIMIT_MS,
@@ -35,7 +38,7 @@
   return [...codes].map(([code, count]) => `${code} ${String(count)}`).join(', ');
 }
 
-/** Measures what is answered in time as the load rises to three times what the fleet carries. */
+/** Measures goodput and late answers as the load rises to three times what the fleet can serve. */
 export async function measureOverload(options: OverloadOptions): Promise<void> {
   const rows: (readonly string[])[] = [];
   const figures: { load: number; goodput: number; late: number }[] = [];
@@ -68,7 +71,7 @@
         formatCodeCounts(samples),
       ]);
       print(
-        `load ${String(load)}: ${tokensPerSecond.toFixed(0)} prompt tokens a second answered whole`,
+        `load ${String(load)}: ${tokensPerSecond.toFixed(0)} prompt tokens per second answered completely`,
       );
     }
   } finally {
--- a/packages/measure/src/relay.ts
+++ b/packages/measure/src/relay.ts
@@ -5,7 +5,7 @@
 import { print, writeReport } from './report.js';
 import { timeStream } from './timed-stream.js';
 
-/** How the relay measurement is run. */
+/** Options of the relay measurement. */
 export interface RelayOptions {
   readonly seed: number;
   readonly durationMs: number;
@@ -27,7 +27,7 @@
 
 type Send = (index: number, startedAt: number) => Promise<LoadSample>;
 
-/** Sends at a fixed rate, each at its own time, and returns what became of each. */
+/** Sends requests at a fixed rate, each at its scheduled time, and returns the outcome of each. */
 function sendAtRate(rate: number, durationMs: number, send: Send): Promise<readonly LoadSample[]> {
   const startedAt = performance.now();
   const count = Math.floor((rate * durationMs) / MS_PER_SECOND);
@@ -96,7 +96,7 @@
   return status.process.rssBytes / BYTES_PER_MB;
 }
 
-/** Sends at full rate and watches the gateway's memory; one reading each second. */
+/** Sends requests at the full rate and samples the gateway's resident memory once per second. */
 async function sendAndSampleMemory(url: string, options: RelayOptions) {
   const memoryMb: number[] = [];
   const timer = setInterval(() => {
@@ -114,14 +114,17 @@
   return values.reduce((sum, value) => sum + value, 0) / values.length;
 }
 
-/** Memory of the last quarter over that of the third: 1 where it does not grow. */
+/**
+ * Ratio of the mean memory in the last quarter of the samples to that in the third quarter: 1 if it
+ * does not grow.
+ */
 function memoryGrowth(memoryMb: readonly number[]): number {
   const secondHalf = memoryMb.slice(Math.floor(memoryMb.length / 2));
   const middle = Math.floor(secondHalf.length / 2);
   return mean(secondHalf.slice(middle)) / mean(secondHalf.slice(0, middle));
 }
 
-/** Measures what the gateway adds to the first token, what it carries, and its memory. */
+/** Measures the latency that a gateway adds to the first token, and its throughput and memory. */
 export async function measureRelay(options: RelayOptions): Promise<void> {
   const fleet = await Fleet.start({
     gateways: 1,
@@ -169,7 +172,7 @@
       ),
     );
     print(
-      `carried ${rate.toFixed(0)} streamed requests a second of ${String(OUTPUT_TOKENS)} tokens (target 500)`,
+      `served ${rate.toFixed(0)} streamed requests per second of ${String(OUTPUT_TOKENS)} tokens each (target 500)`,
     );
     print(
       `memory over the second half: last quarter / third quarter = ${memoryGrowth(full.memoryMb).toFixed(3)}; last ${full.memoryMb.at(-1)?.toFixed(0) ?? '-'} MB`,
--- a/packages/measure/src/timed-stream.ts
+++ b/packages/measure/src/timed-stream.ts
@@ -6,23 +6,26 @@
 const agent = new Agent({ keepAlive: true, maxSockets: MAX_SOCKETS, timeout: IDLE_TIMEOUT_MS });
 const TOKEN_MARKER = 'id: ';
 
-/** A streamed call, to an engine or to a gateway. */
+/** A streamed call to an engine or a gateway. */
 export interface TimedCall {
   readonly url: string;
   readonly headers: Readonly<Record<string, string>>;
   readonly body: string;
   readonly tokens: number;
-  /** Text that stands only at the end of a whole stream. */
+  /** Text that occurs only at the end of a complete stream. */
   readonly doneMarker: string;
 }
 
-/** What a timed call found. */
+/** Outcome and times of a streamed call. */
 export type TimedResult = Pick<
   LoadSample,
   'code' | 'requestId' | 'firstTokenMs' | 'totalMs' | 'tokens' | 'retryAfterMs'
 >;
 
-/** Times the first token with as little work as possible, the same for an engine and a gateway. */
+/**
+ * Measures the times from `startedAt` to the first token and to the end of a stream. Does as little
+ * work as possible, and the same for an engine and a gateway.
+ */
 export function timeStream(call: TimedCall, startedAt: number): Promise<TimedResult> {
   return new Promise((resolve) => {
     let firstTokenMs: number | undefined;
