--- a/packages/proof/src/bad-input.test.ts
+++ b/packages/proof/src/bad-input.test.ts
@@ -24,7 +24,7 @@
   maxPromptTokens: 50,
 };
 
-describe('bad input', () => {
+describe('invalid requests', () => {
   let fleet: Fleet;
   let url = '';
 
@@ -88,9 +88,9 @@
   it.each([
     ['malformed JSON', '{"model":', {}, 400, 'bad_json'],
     ['a field of the wrong type', '{"model":"general","prompt":7}', {}, 400, 'bad_field'],
-    ['a wrong header', json, { 'x-poppypond-time-limit-ms': 'soon' }, 400, 'bad_field'],
+    ['an invalid header value', json, { 'x-poppypond-time-limit-ms': 'soon' }, 400, 'bad_field'],
     ['an oversized body', long(60_000), {}, 413, 'body_too_large'],
-    ['a bad key', json, { authorization: 'Bearer wrong' }, 401, 'unauthenticated'],
+    ['an unknown API key', json, { authorization: 'Bearer wrong' }, 401, 'unauthenticated'],
     ['an unknown model', '{"model":"other","prompt":"a"}', {}, 404, 'unknown_model'],
     [
       'a prompt over the limit of its rule',
@@ -108,7 +108,7 @@
       'cannot_finish',
     ],
   ])(
-    'answers %s with a documented code and runs nothing',
+    'rejects %s with a documented code and does not run the request',
     async (_name, body, headers, status, code) => {
       const reply = await post(body, headers);
       expect([reply.status, reply.error?.code, reply.error?.outcome]).toEqual([
@@ -119,7 +119,7 @@
     },
   );
 
-  it('names the budget that is spent, and when to come back', async () => {
+  it('names the exhausted budget and when to retry, and rejects a request over the whole budget', async () => {
     const headers = { authorization: `Bearer ${sampleKey('audit')}` };
     const body = JSON.stringify({ ...REQUEST, max_tokens: 90 });
     expect((await post(body, headers)).status).toBe(200);
@@ -131,19 +131,19 @@
     expect(giant.error?.code).toBe('over_budget_size');
   });
 
-  it('answers oversized headers and paths that do not exist', async () => {
+  it('rejects oversized headers, unknown paths and a wrong method', async () => {
     expect((await fetch(url, { headers: { 'x-large': 'a'.repeat(20_000) } })).status).toBe(431);
     expect((await post('{}', {}, '/nowhere')).error?.code).toBe('not_found');
     const wrong = await fetch(`${url}/v1/completions`);
     expect(wrong.status).toBe(405);
   });
 
-  it('answers calls to services that are unknown or lack an idempotency key', async () => {
+  it('rejects calls to an unknown service and calls without an idempotency key', async () => {
     expect((await post('{}', {}, '/services/nothing/x')).error?.code).toBe('unknown_service');
     expect((await post('{}', {}, '/services/register/x')).error?.code).toBe('key_missing');
   });
 
-  it('gives up on a caller that is slow, and forgets one that vanishes', async () => {
+  it('times out a caller that sends its body slowly, and releases the request of one that disconnects', async () => {
     const { hostname, port } = new URL(url);
     const head =
       'POST /v1/completions HTTP/1.1\r\nhost: x\r\ncontent-length: 100\r\n' +
@@ -159,13 +159,13 @@
     slow.destroy();
     const gone = connect(Number(port), hostname);
     gone.write(head, () => gone.destroy());
-    await waitUntil('nothing is in progress', async () => {
+    await waitUntil('no request is in progress', async () => {
       const status = statusSchema.parse(await getJson(`${url}/status`));
       return status.inProgress === 0;
     });
   });
 
-  it('has run only what it answered, holds no memory, and lives', async () => {
+  it('the engine ran only the accepted request and holds no memory, and the gateway still answers', async () => {
     const truth = truthSchema.parse(await getJson(`${fleet.engines[0]?.url ?? ''}/truth`));
     expect(truth.runs).toHaveLength(1);
     expect(truth.heldTokens).toBe(0);
--- a/packages/proof/src/checkers/checkers.test.ts
+++ b/packages/proof/src/checkers/checkers.test.ts
@@ -27,28 +27,28 @@
 };
 const none = new Set<string>();
 
-describe('each checker passes a right history and finds a planted fault', () => {
-  it('within the limit', () => {
+describe('checkers accept a correct history and report each deliberate fault', () => {
+  it('checkWithinLimit reports late and lost calls, but none of a gateway with an injected fault', () => {
     expect(checkWithinLimit([call], none, 250)).toEqual([]);
     expect(checkWithinLimit([{ ...call, endedAtMs: 1300 }], none, 250)).toHaveLength(1);
     expect(checkWithinLimit([{ ...call, code: 'lost' }], none, 250)).toHaveLength(1);
     expect(checkWithinLimit([{ ...call, code: 'lost' }], new Set(['g']), 250)).toEqual([]);
   });
 
-  it('whole answers', () => {
+  it('checkCompleteAnswers reports an incomplete answer with ok, and text that does not start the answer', () => {
     expect(checkCompleteAnswers([call, { ...call, code: 'incomplete', text: 'a ' }])).toEqual([]);
     expect(checkCompleteAnswers([{ ...call, text: 'a b ' }])).toHaveLength(1);
     expect(checkCompleteAnswers([{ ...call, code: 'incomplete', text: 'a a ' }])).toHaveLength(1);
   });
 
-  it('told not run', () => {
+  it('checkNotRun reports a request that ran although its code says that it did not run', () => {
     const refused = { requestId: 'r1', code: 'queue_full' };
     expect(checkNotRun([refused], none)).toEqual([]);
     expect(checkNotRun([refused], new Set(['r1']))).toHaveLength(1);
     expect(checkNotRun([{ requestId: 'r1', code: 'incomplete' }], new Set(['r1']))).toEqual([]);
   });
 
-  it('at most once', () => {
+  it('checkAtMostOnce reports a key that ran twice, and a receipt of another run', () => {
     const told = { gateway: 'g', key: 'k', requestId: 'r1', code: 'ok' as const, receipt: 1 };
     const run = { requestId: 'r1', body: 'k', receipt: 1 };
     expect(checkAtMostOnce([told], [run])).toEqual([]);
@@ -56,7 +56,7 @@
     expect(checkAtMostOnce([{ ...told, receipt: 7 }], [run])).toHaveLength(1);
   });
 
-  it('revisions', () => {
+  it('checkRevisions reports a revision that decreases within an incarnation or is active too late', () => {
     const seen = { host: 'h', incarnation: 'i', atMs: 0, revision: 2 };
     const later = { ...seen, atMs: 9000, revision: 3 };
     expect(checkRevisions([seen, later], [{ atMs: 100, revision: 3 }], 2000)).toEqual([]);
@@ -67,14 +67,14 @@
     expect(checkRevisions([later, restarted], [], 2000)).toEqual([]);
   });
 
-  it('fences and gaps', () => {
+  it('checkFences reports a decreasing fencing token, checkNoGap an observation without a holder', () => {
     expect(checkFences(new Map([['e', [1, 1, 3]]]))).toEqual([]);
     expect(checkFences(new Map([['e', [1, 3, 2]]]))).toHaveLength(1);
     expect(checkNoGap([3, 1, 2])).toEqual([]);
     expect(checkNoGap([3, 0, 2])).toHaveLength(1);
   });
 
-  it('leaving, memory, planned stops', () => {
+  it('checkLeaving reports late starts, checkMemory held tokens, checkNoErrors failed calls', () => {
     expect(checkLeaving([100, 2000], 0, 3000)).toEqual([]);
     expect(checkLeaving([100, 3500], 0, 3000)).toHaveLength(1);
     expect(checkMemory(new Map([['e', 0]]))).toEqual([]);
--- a/packages/proof/src/checkers/checkers.ts
+++ b/packages/proof/src/checkers/checkers.ts
@@ -7,7 +7,7 @@
   ServiceRun,
 } from '../history.js';
 
-/** What a checker found; empty where the promise held. */
+/** Violations that a checker found; empty if the guarantee held. */
 export type Violations = readonly string[];
 
 function isNotRun(code: string): boolean {
@@ -15,8 +15,9 @@
 }
 
 /**
- * Every call had its final word within its limit and a grace. A call whose gateway was ended or
- * stopped under it can't get one.
+ * Checks that every call received its final response within its limit plus `graceMs`. Skips calls
+ * that their callers cancelled, and calls to gateways that were killed or suspended meanwhile, as
+ * these can't receive one.
  */
 export function checkWithinLimit(
   calls: readonly CompletionCall[],
@@ -26,37 +27,47 @@
   return calls.flatMap((call) => {
     if (call.isCancelled || faultedGateways.has(call.gateway)) return [];
     const tookMs = call.endedAtMs - call.startedAtMs;
-    if (call.code === 'lost') return [`${call.requestId}: no final word`];
+    if (call.code === 'lost') return [`${call.requestId}: no final response`];
     if (tookMs <= call.limitMs + graceMs) return [];
-    return [`${call.requestId}: took ${tookMs.toFixed(0)} of ${String(call.limitMs)} ms`];
+    return [
+      `${call.requestId}: took ${tookMs.toFixed(0)} ms with a limit of ${String(call.limitMs)} ms`,
+    ];
   });
 }
 
-/** Whoever was told `ok` has the whole answer to its own request; others have at most its start. */
+/**
+ * Checks that each caller that received `ok` has the complete answer to its own request, and that
+ * all others have at most the start of it.
+ */
 export function checkCompleteAnswers(calls: readonly CompletionCall[]): Violations {
   return calls.flatMap((call) => {
     if (call.code === 'ok' && call.text !== call.expected) {
       return [
-        `${call.requestId}: told ok with ${String(call.text.length)} of ${String(call.expected.length)} characters`,
+        `${call.requestId}: received ok with ${String(call.text.length)} of ${String(call.expected.length)} characters`,
       ];
     }
     return call.expected.startsWith(call.text)
       ? []
-      : [`${call.requestId}: foreign or repeated text`];
+      : [
+          `${call.requestId}: received text that is not the start of its answer (foreign or repeated)`,
+        ];
   });
 }
 
-/** Whoever was told not run was not run. */
+/** Checks that no request ran whose caller received a code that says that it did not run. */
 export function checkNotRun(
   calls: readonly { readonly requestId: string; readonly code: string }[],
   ran: ReadonlySet<string>,
 ): Violations {
   return calls.flatMap(({ requestId, code }) =>
-    isNotRun(code) && ran.has(requestId) ? [`${requestId}: told ${code} and was run`] : [],
+    isNotRun(code) && ran.has(requestId) ? [`${requestId}: received ${code} but was run`] : [],
   );
 }
 
-/** Each key ran at most once, and every receipt is that of its key's one run. */
+/**
+ * Checks that each key ran at most once, and that each receipt is that of the single run of its
+ * key.
+ */
 export function checkAtMostOnce(
   calls: readonly ServiceCall[],
   runs: readonly ServiceRun[],
@@ -69,12 +80,17 @@
   const wrongReceipts = calls.flatMap(({ key, code, receipt }) => {
     const run = runsByKey.get(key)?.[0];
     if (code !== 'ok') return [];
-    return run?.receipt === receipt ? [] : [`${key}: receipt ${String(receipt)} is not its own`];
+    return run?.receipt === receipt
+      ? []
+      : [`${key}: receipt ${String(receipt)} is not that of its run`];
   });
   return [...repeatedRuns, ...wrongReceipts];
 }
 
-/** A host's revision never falls, and each accepted revision is in force in time. */
+/**
+ * Checks that the revision of a host never decreases within an incarnation, and that each accepted
+ * revision is active on every host `withinMs` after its acceptance.
+ */
 export function checkRevisions(
   seen: readonly ObservedRevision[],
   accepted: readonly AcceptedRevision[],
@@ -87,7 +103,7 @@
     const before = lastByIncarnation.get(run);
     if (before && observation.revision < before.revision) {
       violations.push(
-        `${run}: went from ${String(before.revision)} to ${String(observation.revision)}`,
+        `${run}: revision went from ${String(before.revision)} to ${String(observation.revision)}`,
       );
     }
     lastByIncarnation.set(run, observation);
@@ -96,14 +112,14 @@
     const late = seen.filter((one) => one.atMs > atMs + withinMs && one.revision < revision);
     for (const { host, atMs: lateAtMs } of late) {
       violations.push(
-        `${host}: without ${String(revision)} after ${(lateAtMs - atMs).toFixed(0)} ms`,
+        `${host}: revision ${String(revision)} is not active after ${(lateAtMs - atMs).toFixed(0)} ms`,
       );
     }
   }
   return violations;
 }
 
-/** No work started on a server that had been leaving for longer than the allowed time. */
+/** Checks that no work started on a server more than `allowedMs` after it began to leave. */
 export function checkLeaving(
   startTimesMs: readonly number[],
   leavingSinceMs: number,
@@ -112,40 +128,48 @@
   return startTimesMs
     .filter((startMs) => startMs > leavingSinceMs + allowedMs)
     .map(
-      (startMs) => `started ${(startMs - leavingSinceMs).toFixed(0)} ms after it began to leave`,
+      (startMs) =>
+        `work started ${(startMs - leavingSinceMs).toFixed(0)} ms after the server began to leave`,
     );
 }
 
-/** After everything has ended, no engine holds memory. */
+/** Checks that no engine holds memory after all requests have ended. */
 export function checkMemory(heldTokens: ReadonlyMap<string, number>): Violations {
   return [...heldTokens].flatMap(([engine, tokens]) =>
     tokens === 0 ? [] : [`${engine}: still holds ${String(tokens)} tokens`],
   );
 }
 
-/** An engine that checks fencing tokens never follows an older order after a newer one. */
+/**
+ * Checks that no engine that checks fencing tokens executes a command with an older token after one
+ * with a newer token.
+ */
 export function checkFences(fencesByEngine: ReadonlyMap<string, readonly number[]>): Violations {
   return [...fencesByEngine].flatMap(([engine, fences]) =>
     fences.flatMap((fence, index) => {
       const before = fences[index - 1] ?? 0;
-      return fence < before ? [`${engine}: followed ${String(fence)} after ${String(before)}`] : [];
+      return fence < before
+        ? [
+            `${engine}: executed a command with fencing token ${String(fence)} after ${String(before)}`,
+          ]
+        : [];
     }),
   );
 }
 
-/** At every look at least one engine held the model. */
-export function checkNoGap(holdersSeen: readonly number[]): Violations {
-  const gaps = holdersSeen.filter((holders) => holders === 0).length;
-  return gaps === 0 ? [] : [`no engine held the model at ${String(gaps)} looks`];
+/** Checks that at least one engine held the model at every observation. */
+export function checkNoGap(holderCounts: readonly number[]): Violations {
+  const gaps = holderCounts.filter((holders) => holders === 0).length;
+  return gaps === 0 ? [] : [`no engine held the model at ${String(gaps)} observations`];
 }
 
-/** During planned stops nobody got an error. */
+/** Checks that every call succeeded, which must hold during planned stops. */
 export function checkNoErrors(calls: readonly CompletionCall[]): Violations {
   return calls.flatMap(({ requestId, code, startedAtMs, endedAtMs, expected }) => {
     if (code === 'ok') return [];
     const tookMs = Math.round(endedAtMs - startedAtMs);
     return [
-      `${requestId}: ${code} after ${String(tookMs)} ms, ${String(expected.length)} letters due`,
+      `${requestId}: ${code} after ${String(tookMs)} ms, ${String(expected.length)} characters expected`,
     ];
   });
 }
--- a/packages/proof/src/commands.ts
+++ b/packages/proof/src/commands.ts
@@ -15,10 +15,10 @@
 const FREE_SEED_RANGE = 1_000_000;
 
 const shape = {
-  runs: countSetting.default(DEFAULT_RUNS).describe('fault runs of each promise'),
+  runs: countSetting.default(DEFAULT_RUNS).describe('runs of each scenario'),
   seed: countSetting.default(DEFAULT_SEED).describe('seed of the first run'),
-  freeSeed: booleanSetting.default(false).describe('take a seed at random and print it'),
-  timeLimitMs: millisecondsSetting.default(900_000).describe('time limit of each promise'),
+  freeSeed: booleanSetting.default(false).describe('use a random seed and print it'),
+  timeLimitMs: millisecondsSetting.default(900_000).describe('time limit of each scenario'),
 };
 
 function formatCounts(counts: ReadonlyMap<string, number>): string {
@@ -51,7 +51,7 @@
     results.push(result);
   }
   process.stdout.write(
-    '\n| promise | runs | calls and what their callers were told | faults provoked | violations |\n',
+    '\n| guarantee | runs | calls by result code | injected faults | violations |\n',
   );
   process.stdout.write('| --- | --- | --- | --- | --- |\n');
   for (const result of results) printResult(result);
@@ -69,10 +69,14 @@
   });
 }
 
-/** One command for each promise, and one for all. */
+/** A command that runs all scenarios, and one for each scenario. */
 export const proofCommands: readonly ProgramCommand[] = [
-  makeCommand([], 'Prove every promise under faults, on fleets of processes.', SCENARIOS),
+  makeCommand(
+    [],
+    'Check every guarantee under injected faults, on fleets of processes.',
+    SCENARIOS,
+  ),
   ...SCENARIOS.map((scenario) =>
-    makeCommand([scenario.name], `Prove: ${scenario.guarantee}.`, [scenario]),
+    makeCommand([scenario.name], `Check under injected faults: ${scenario.guarantee}.`, [scenario]),
   ),
 ];
--- a/packages/proof/src/history.ts
+++ b/packages/proof/src/history.ts
@@ -1,6 +1,6 @@
 import type { ResultName } from '@poppypond/core';
 
-/** One completion call of one caller, as the caller saw it. */
+/** A completion call as its caller observed it. */
 export interface CompletionCall {
   readonly gateway: string;
   readonly startedAtMs: number;
@@ -10,30 +10,30 @@
   readonly code: ResultName | 'lost';
   readonly text: string;
   readonly expected: string;
-  /** Index of the first token that was asked for. */
+  /** Index of the first requested token. */
   readonly offset: number;
-  /** The caller itself closed the connection. */
+  /** Whether the caller itself closed the connection. */
   readonly isCancelled: boolean;
 }
 
-/** One call to a plain service, as the caller saw it. */
+/** A call to a plain service as its caller observed it. */
 export interface ServiceCall {
   readonly gateway: string;
   readonly key: string;
   readonly requestId: string;
-  /** `ok`, a result code, or `lost` where no final word was received. */
+  /** `ok`, another result code, or `lost` if no final response was received. */
   readonly code: ResultName | 'lost';
   readonly receipt: number | undefined;
 }
 
-/** One call that a plain service ran, from its ground truth. */
+/** A call that a plain service ran, from its ground truth. */
 export interface ServiceRun {
   readonly requestId: string;
   readonly body: string;
   readonly receipt: number;
 }
 
-/** The revision in force on one run of one host, as it was observed. */
+/** The revision that was observed to be active on one incarnation of a host. */
 export interface ObservedRevision {
   readonly host: string;
   readonly incarnation: string;
@@ -41,7 +41,7 @@
   readonly revision: number;
 }
 
-/** A change that an operator was told is accepted. */
+/** A change whose acceptance was confirmed to an operator. */
 export interface AcceptedRevision {
   readonly atMs: number;
   readonly revision: number;
--- a/packages/proof/src/operators.test.ts
+++ b/packages/proof/src/operators.test.ts
@@ -64,7 +64,7 @@
     },
   ];
 
-  it('sets a limit, sees a refusal, asks why, changes the limit, reads the audit trail', async () => {
+  it('sets a limit, explains a refusal, raises the limit and reads the audit trail', async () => {
     const set = ['apply', writeObjects('limit.json', limited(200)), '--why', 'pilot', '--wait'];
     expect(await runCli(set)).toMatchObject({
       code: 0,
@@ -87,20 +87,23 @@
       '--wait',
     ];
     expect((await runCli(more)).code).toBe(0);
-    const answered = await requestStatus();
+    const answered = await sendAndGetStatus();
     expect(answered).toBe(200);
     const trail = await runCli(['audit', '--object', 'workspace/audit']);
     expect(trail.out).toMatch(/operator +changed +workspace\/audit +pilot/);
     expect(trail.out).toMatch(/operator +changed +workspace\/audit +audit season/);
   });
 
-  /** The budget's units come with the share; a host may have to ask for it. */
-  async function requestStatus(): Promise<number> {
+  /**
+   * Sends a request and returns its status. The units of the budget come with a share of it, which
+   * the host may have to request first.
+   */
+  async function sendAndGetStatus(): Promise<number> {
     const reply = await ask(10);
     return reply.status;
   }
 
-  it('shows a difference without changing anything, and refuses invalid objects whole', async () => {
+  it('shows a difference without a change, and rejects all objects when one is invalid', async () => {
     const diff = await runCli(['diff', writeObjects('diff.json', limited(9000))]);
     expect(diff.out).toMatch(/spec.budget.burstUnits: 5000 -> 9000/);
     const bad = [...limited(1), { kind: 'rule', name: 'Bad Name', spec: { traffic: 3 } }];
@@ -112,7 +115,7 @@
     );
   });
 
-  it('warns about what matches nothing, and names both changes in a race', async () => {
+  it('warns about selectors that match nothing, and names both changes of a conflict', async () => {
     const rule = {
       kind: 'rule',
       name: 'lost',
@@ -140,7 +143,7 @@
     expect(raced.out).toMatch(/conflict .*you changed revision 1, it is now at 3: .*audit season/);
   });
 
-  it('lets an operator change only what its scope selects, and a viewer nothing', async () => {
+  it('lets an operator change only the objects in its scope, and a viewer none', async () => {
     const operator = (name: string, role: string) => ({
       kind: 'operator',
       name,
--- a/packages/proof/src/programs.test.ts
+++ b/packages/proof/src/programs.test.ts
@@ -13,7 +13,7 @@
 }
 
 describe('programs', () => {
-  it.each(PROGRAMS)('%s explains itself with --help', (program) => {
+  it.each(PROGRAMS)('%s prints its usage with --help', (program) => {
     const { status, stdout } = run(program, ['--help']);
     expect(status).toBe(0);
     expect(stdout.length).toBeGreaterThan(200);
@@ -21,23 +21,28 @@
 
   it.each([
     ['an unknown flag', ['--wrong', '1'], {}, /--wrong/],
-    ['a bad value', ['--listen-port', 'many'], {}, /--listen-port \(POPPYPOND_LISTEN_PORT\)/],
-    ['a bad variable', [], { POPPYPOND_FAN_OUT: '-1' }, /--fan-out \(POPPYPOND_FAN_OUT\)/],
-    ['an unknown variable', [], { POPPYPOND_WRONG: '1' }, /POPPYPOND_WRONG/],
-  ])('answers %s with one line that names it, and exit code 2', (_name, args, env, line) => {
+    ['an invalid value', ['--listen-port', 'many'], {}, /--listen-port \(POPPYPOND_LISTEN_PORT\)/],
+    [
+      'an invalid environment variable',
+      [],
+      { POPPYPOND_FAN_OUT: '-1' },
+      /--fan-out \(POPPYPOND_FAN_OUT\)/,
+    ],
+    ['an unknown environment variable', [], { POPPYPOND_WRONG: '1' }, /POPPYPOND_WRONG/],
+  ])('rejects %s with one line that names it, and exit code 2', (_name, args, env, line) => {
     const { status, stderr } = run('gateway', [...REQUIRED, ...args], env);
     expect(status).toBe(2);
     expect(stderr.trim().split('\n')).toHaveLength(1);
     expect(stderr).toMatch(line);
   });
 
-  it('names a setting that is missing', () => {
+  it('names a missing setting', () => {
     const { status, stderr } = run('gateway', ['--zone', 'a']);
     expect(status).toBe(2);
     expect(stderr).toMatch(/^poppypond-gateway: --host \(POPPYPOND_HOST\): .*\n$/);
   });
 
-  it('lets a flag win over its variable, and stops with exit code 0 on SIGTERM', async () => {
+  it('prefers a flag over its environment variable, and exits with code 0 on SIGTERM', async () => {
     process.env['POPPYPOND_KV_TOKENS'] = '7';
     const program = await startProgram('standin', ['engine'], { 'kv-tokens': 9 });
     delete process.env['POPPYPOND_KV_TOKENS'];
--- a/packages/proof/src/proof.ts
+++ b/packages/proof/src/proof.ts
@@ -2,15 +2,18 @@
 import type { Violations } from './checkers/checkers.js';
 import type { ScenarioRandom } from './random.js';
 
-/** What one run of a proof provoked and found. */
+/** Injected faults and results of one run of a scenario. */
 export interface ScenarioRun {
   readonly faults: readonly string[];
-  /** How each call ended, as its caller was told. */
+  /** Result code of each call, as its caller received it. */
   readonly codes: readonly string[];
   readonly violations: Violations;
 }
 
-/** A proof of one promise: runs of a scenario on a fleet of processes, each checked afterwards. */
+/**
+ * A fault-injection test of one guarantee. Each run sends calls to a fleet of processes, injects
+ * faults, and checks the results afterwards.
+ */
 export interface Scenario {
   readonly name: string;
   readonly guarantee: string;
--- a/packages/proof/src/proofs.test.ts
+++ b/packages/proof/src/proofs.test.ts
@@ -6,7 +6,7 @@
 const CI_SEED = 1;
 const TIME_LIMIT_MS = 120_000;
 
-describe('what must always hold, a bounded part with fixed seeds', () => {
+describe('guarantees under injected faults, in a few runs with fixed seeds', () => {
   for (const scenario of SCENARIOS) {
     it(
       scenario.guarantee,
--- a/packages/proof/src/proofs.ts
+++ b/packages/proof/src/proofs.ts
@@ -10,7 +10,7 @@
 import { fencedCommands } from './scenarios/controllers.js';
 import { leavingServer, plannedStop } from './scenarios/planned.js';
 
-/** A proof for each line under "What must always hold", and one for control of the engines. */
+/** A scenario for each guarantee that must always hold, and one for the control of engines. */
 export const SCENARIOS: readonly Scenario[] = [
   withinLimit,
   engineMemory,
--- a/packages/proof/src/random.ts
+++ b/packages/proof/src/random.ts
@@ -1,6 +1,6 @@
 import { seededRandom } from '@poppypond/load';
 
-/** Seeded random choices of a scenario. */
+/** Random choices of a scenario, reproducible by their seed. */
 export class ScenarioRandom {
   readonly #uniform: () => number;
 
@@ -8,12 +8,12 @@
     this.#uniform = seededRandom(seed);
   }
 
-  /** In [0, 1). */
+  /** Returns a uniform random number in [0, 1). */
   next(): number {
     return this.#uniform();
   }
 
-  /** A whole number from `low` to `high`, both included. */
+  /** Returns an integer from `low` to `high`, both included. */
   between(low: number, high: number): number {
     return low + Math.floor(this.next() * (high - low + 1));
   }
@@ -24,7 +24,7 @@
 
   pick<Item>(items: readonly Item[]): Item {
     const item = items[Math.floor(this.next() * items.length)];
-    if (item === undefined) throw new Error('nothing to pick from');
+    if (item === undefined) throw new Error('cannot pick from an empty list');
     return item;
   }
 }
--- a/packages/proof/src/run-proof.ts
+++ b/packages/proof/src/run-proof.ts
@@ -2,20 +2,20 @@
 import type { Scenario, ScenarioRun } from './proof.js';
 import { ScenarioRandom } from './random.js';
 
-/** The sum of a proof's runs. */
+/** Totals of the runs of a scenario. */
 export interface ScenarioResult {
   readonly name: string;
   readonly guarantee: string;
   readonly runs: number;
   readonly calls: number;
-  /** Code to how many callers were told it. */
+  /** Number of calls by result code. */
   readonly codes: ReadonlyMap<string, number>;
-  /** Fault to how often it was provoked. */
+  /** Number of injections by fault. */
   readonly faults: ReadonlyMap<string, number>;
   readonly violations: readonly string[];
 }
 
-/** When to stop. */
+/** First seed of a series of runs, and when the series ends. */
 export interface RunBounds {
   readonly runs: number;
   readonly seed: number;
@@ -28,7 +28,7 @@
   return counts;
 }
 
-/** Runs a proof on one fleet. Run n of seed s is the same as run 0 of seed s + n. */
+/** Runs a scenario on one fleet. Run n with seed s is the same as run 0 with seed s + n. */
 export async function runScenario(
   scenario: Scenario,
   bounds: RunBounds,
--- a/packages/proof/src/scenarios/at-most-once.ts
+++ b/packages/proof/src/scenarios/at-most-once.ts
@@ -61,7 +61,9 @@
   return { gateway, key, requestId, code: isResultName(code) ? code : 'lost', receipt: undefined };
 }
 
-/** Sends a key at one host after another, as a caller does that has no answer yet. */
+/**
+ * Sends a key to one host after another, like a caller that retries as long as it has no answer.
+ */
 async function sendKey(
   fleet: Fleet,
   key: string,
--- a/packages/proof/src/scenarios/callers.ts
+++ b/packages/proof/src/scenarios/callers.ts
@@ -2,7 +2,7 @@
 import type { CompletionCall } from '../history.js';
 import type { ScenarioRandom } from '../random.js';
 
-/** What a caller asks. */
+/** Parameters of one completion call. */
 export interface CompletionCallOptions {
   readonly gateway: string;
   readonly promptTokens: number;
@@ -14,12 +14,12 @@
 
 let callCount = 0;
 
-/** Share of questions whose limit is hard to meet. */
+/** Share of calls with a time limit that is hard to meet. */
 const TIGHT_LIMIT_SHARE = 0.3;
 
 const ANSWER_GRACE_MS = 20_000;
 
-/** Asks one question and records the call. */
+/** Makes one completion call and records it. */
 export async function ask(
   options: CompletionCallOptions,
   random: ScenarioRandom,
@@ -57,7 +57,10 @@
   };
 }
 
-/** A question of random size; one in `longEvery` is long, one in `groupEvery` needs a group. */
+/**
+ * Returns a call of random size. On average one in `groupEvery` has a prompt that needs a group of
+ * engines, and one in `longEvery` of the others a long prompt.
+ */
 export function makeRandomCall(
   gateways: readonly string[],
   random: ScenarioRandom,
@@ -78,7 +81,7 @@
   };
 }
 
-/** Waits on the wall clock; used only to spread calls and faults over a run. */
+/** Waits in real time. Used only to spread calls, faults and polls over a run. */
 export function sleep(milliseconds: number): Promise<void> {
   return new Promise((resolve) => setTimeout(resolve, milliseconds));
 }
--- a/packages/proof/src/scenarios/completions.ts
+++ b/packages/proof/src/scenarios/completions.ts
@@ -17,9 +17,11 @@
   injectEngineFault,
 } from './faults.js';
 
-/** Grace for the last bytes to reach a caller on a busy machine. */
+/** Extra time for the last bytes to reach a caller on a busy host. */
 const RESPONSE_GRACE_MS = 300;
-/** Time in which memory is free again after everything has ended: two looks of the sweep. */
+/**
+ * Time in which all memory is free after all requests have ended: two passes of the memory sweep.
+ */
 const MEMORY_FREE_MS = 12_000;
 
 const FLEET: FleetOptions = {
@@ -35,7 +37,7 @@
 interface LoadOptions {
   readonly calls: number;
   readonly cancelShare: number;
-  /** One question in so many needs a group of engines, which hold memory between calls. */
+  /** One call in so many needs a group of engines, which hold memory between calls. */
   readonly groupEvery: number;
   readonly killsGateways: boolean;
   readonly freezesGateways: boolean;
@@ -49,7 +51,7 @@
 
 type Run = Scenario['run'];
 
-/** Asks questions at random times while faults are provoked one after another. */
+/** Makes calls at random times while faults are injected one after another. */
 async function runLoadWithFaults(
   fleet: Parameters<Run>[0],
   random: Parameters<Run>[1],
@@ -96,7 +98,7 @@
 /** Every admitted request finishes or fails within its time limit. */
 export const withinLimit: Scenario = {
   name: 'within-limit',
-  guarantee: 'finishes or fails within its time limit',
+  guarantee: 'every admitted request finishes or fails within its time limit',
   fleet: FLEET,
   run: async (fleet, random) => {
     const loadOptions = {
@@ -115,10 +117,10 @@
   },
 };
 
-/** No engine loses memory for good, and nobody is robbed of it. */
+/** No engine leaks memory, and no request loses memory that it still uses. */
 export const engineMemory: Scenario = {
   name: 'engine-memory',
-  guarantee: 'no engine loses memory for good',
+  guarantee: 'no engine leaks memory',
   fleet: FLEET,
   run: async (fleet, random) => {
     const loadOptions = {
@@ -135,10 +137,10 @@
   },
 };
 
-/** A caller receives the whole answer to its own request and no other. */
+/** A caller receives the complete answer to its own request and no other. */
 export const completeAnswer: Scenario = {
   name: 'whole-answer',
-  guarantee: 'the whole answer to its own request, and no other',
+  guarantee: 'a caller receives the complete answer to its own request and no other',
   fleet: FLEET,
   run: async (fleet, random) => {
     const loadOptions = {
@@ -157,10 +159,10 @@
   },
 };
 
-/** Told not run means not run. */
+/** A request whose caller receives a code that says that it did not run has not been run. */
 export const reportedNotRun: Scenario = {
   name: 'told-not-run',
-  guarantee: 'told not run means not run',
+  guarantee: 'a request that is reported as not run was not run',
   fleet: FLEET,
   run: async (fleet, random) => {
     const loadOptions = {
--- a/packages/proof/src/scenarios/configuration.ts
+++ b/packages/proof/src/scenarios/configuration.ts
@@ -17,7 +17,7 @@
 
 const OPERATORS = 3;
 const CHANGES_EACH = 3;
-/** In force everywhere within seconds. */
+/** Time in which an accepted revision must be active on every gateway. */
 const MAX_ACTIVATION_MS = 3000;
 const POLL_PERIOD_MS = 40;
 const SETTLE_MS = 1200;
@@ -52,7 +52,7 @@
   }
 }
 
-/** One operator changes the same few workspaces as the others. */
+/** Makes the changes of one operator, to the same few workspaces as the other operators. */
 async function applyChanges(
   fleet: Fleet,
   accepted: AcceptedRevision[],
@@ -98,10 +98,10 @@
   }
 }
 
-/** An accepted configuration is in force on every host within seconds and never reverts. */
+/** An accepted configuration is active on every host within seconds and never reverts. */
 export const configuration: Scenario = {
   name: 'configuration',
-  guarantee: 'an accepted configuration is in force everywhere within seconds and never reverts',
+  guarantee: 'an accepted configuration is active on every host within seconds and never reverts',
   fleet: FLEET,
   run: async (fleet, random) => {
     const seen: ObservedRevision[] = [];
--- a/packages/proof/src/scenarios/controllers.ts
+++ b/packages/proof/src/scenarios/controllers.ts
@@ -31,7 +31,7 @@
 ] as const;
 const ROLLOUT_TIMEOUT_MS = 20_000;
 const POLL_PERIOD_MS = 30;
-/** Longer than the lease, so that another holder takes over meanwhile. */
+/** Longer than the lease, so that another controller acquires it meanwhile. */
 const LONG_FREEZE_MS = 2500;
 
 const truthSchema = z.object({
@@ -52,7 +52,7 @@
   });
 }
 
-/** The controller that holds the engines' lease, if one says so. */
+/** Returns a controller that reports holding the lease of the engine pool, or undefined. */
 async function findLeaseHolder(fleet: Fleet) {
   for (const controller of fleet.controllers) {
     if (controller.hasExited) continue;
@@ -108,11 +108,14 @@
   return new Map(truths);
 }
 
-/** Orders of an older lease are never followed after newer ones, and a rollout leaves no gap. */
+/**
+ * An engine executes no command of an older lease after one of a newer lease, and at every moment
+ * of a rollout some engine holds the model.
+ */
 export const fencedCommands: Scenario = {
   name: 'fenced-orders',
   guarantee:
-    'no engine that checks follows an older order after a newer one; rollouts leave no gap',
+    'no engine that checks fencing tokens executes an older command after a newer one; rollouts leave no gap',
   fleet: FLEET,
   run: async (fleet, random) => {
     lastVersion += 1;
@@ -137,9 +140,13 @@
     const isRolledOut = async () =>
       (await readModelVersions(fleet)).every((held) => held === version);
     const late: string[] = [];
-    await waitUntil(`version ${version} everywhere`, isRolledOut, ROLLOUT_TIMEOUT_MS).catch(() => {
-      late.push(`version ${version} is not on every engine after ${String(ROLLOUT_TIMEOUT_MS)} ms`);
-    });
+    await waitUntil(`version ${version} on every engine`, isRolledOut, ROLLOUT_TIMEOUT_MS).catch(
+      () => {
+        late.push(
+          `version ${version} is not on every engine after ${String(ROLLOUT_TIMEOUT_MS)} ms`,
+        );
+      },
+    );
     isOver = true;
     await observing;
     const violations = [
--- a/packages/proof/src/scenarios/faults.ts
+++ b/packages/proof/src/scenarios/faults.ts
@@ -4,7 +4,7 @@
 import type { ScenarioRandom } from '../random.js';
 import { sleep } from './callers.js';
 
-/** Faults of engines. */
+/** Faults that can be injected into an engine. */
 export const ENGINE_FAULTS = [
   'cut-stream',
   'lose-answer',
@@ -16,7 +16,7 @@
   'engine-freeze',
 ] as const;
 
-/** A fault of an engine. */
+/** A fault that can be injected into an engine. */
 export type EngineFault = (typeof ENGINE_FAULTS)[number];
 
 const NO_FAULTS = {
@@ -29,7 +29,10 @@
   leaving: false,
 };
 
-/** Provokes a fault of an engine; resolves when it is over or set. */
+/**
+ * Injects a fault into an engine. Resolves when the engine has been replaced or resumed, or when
+ * its fault switch is set.
+ */
 export async function injectEngineFault(
   fleet: Fleet,
   engine: FleetServer,
@@ -62,14 +65,14 @@
   }
 }
 
-/** Stops a process for a time. */
+/** Suspends a process for `durationMs`. */
 export async function freeze(program: RunningProgram, durationMs: number): Promise<void> {
   program.signal('SIGSTOP');
   await sleep(durationMs);
   program.signal('SIGCONT');
 }
 
-/** Ends all faults of all engines. */
+/** Resets the fault switches of all engines. */
 export async function clearEngineFaults(fleet: Fleet): Promise<void> {
   await Promise.all(fleet.engines.map((engine) => setFaults(engine.url, NO_FAULTS)));
 }
@@ -81,17 +84,17 @@
   ),
 });
 
-/** Ground truth of an engine. */
+/** Reads the ground truth of an engine: the requests that it ran and the memory that it holds. */
 export async function readEngineTruth(engine: FleetServer): Promise<z.infer<typeof truthSchema>> {
   return truthSchema.parse(await getJson(`${engine.url}/truth`));
 }
 
-/** Every request that any engine ran, also those that were killed since. */
+/** Returns the ids of all requests that engines ran, also of engines that were killed since. */
 export function allRunRequests(fleet: Fleet): ReadonlySet<string> {
   return new Set(fleet.engines.flatMap((engine) => [...engine.program.ran]));
 }
 
-/** Tokens held by each engine. */
+/** Reads the tokens that each engine holds. */
 async function readHeldTokens(fleet: Fleet): Promise<ReadonlyMap<string, number>> {
   const held = await Promise.all(
     fleet.engines.map(
@@ -101,7 +104,10 @@
   return new Map(held);
 }
 
-/** Waits until no engine holds memory, at most this long; then says what is still held. */
+/**
+ * Waits up to `withinMs` until no engine holds memory, then returns the tokens that each still
+ * holds.
+ */
 export async function waitForFreeMemory(
   fleet: Fleet,
   withinMs: number,
--- a/packages/proof/src/scenarios/planned.ts
+++ b/packages/proof/src/scenarios/planned.ts
@@ -22,16 +22,16 @@
   platformFlags: { 'host-list-lag-ms': 1500 },
 };
 
-/** A few seconds, in which a leaving server may still get new work. */
+/** Time in which a leaving server may still receive new work. */
 const LEAVING_ALLOWED_MS = 3000;
 const LEAVING_OBSERVED_MS = 3800;
 const CALL_GAP_MS = 15;
 const EXPLAIN_TIMEOUT_MS = 2000;
-/** Within what the pool's groups can carry. */
+/** Share of calls that need a group of engines, within the capacity of the pool's groups. */
 const GROUP_PROMPT_SHARE = 0.02;
 const CALL_OPTIONS = { maxTokens: 16, limitMs: 20_000 };
 
-/** Callers that the balancer sends only to gateways that are ready. */
+/** Load balancer that picks only gateways that report themselves ready. */
 class Balancer {
   #ready: readonly RunningProgram[];
   #isStopped = false;
@@ -63,7 +63,10 @@
   }
 }
 
-/** Asks short and long questions, one after another, until `isOver`. */
+/**
+ * Sends calls with short prompts and with prompts that need a group, one every CALL_GAP_MS, until
+ * `isOver` returns true. Returns all calls after they have ended.
+ */
 async function sendUntil(
   pickGateway: () => string,
   random: ScenarioRandom,
@@ -79,7 +82,9 @@
   return Promise.all(pendingCalls);
 }
 
-/** Lets an engine leave, waits until it is idle, ends it, and starts another in its place. */
+/**
+ * Marks an engine as leaving, waits until it is idle, kills it, and starts another in its place.
+ */
 async function replaceEngineGracefully(fleet: Fleet, random: ScenarioRandom): Promise<void> {
   const engine = random.pick(fleet.engines);
   await setFaults(engine.url, { leaving: true });
@@ -91,17 +96,17 @@
   await fleet.replaceEngine(engine);
 }
 
-/** Stops a gateway as a planned stop does; its replacement serves first. */
+/** Stops a gateway as in a planned stop, with SIGTERM once its replacement is ready. */
 async function replaceGatewayGracefully(fleet: Fleet, random: ScenarioRandom): Promise<void> {
   const gateway = random.pick(fleet.gateways);
   await fleet.replaceGateway(gateway);
   await fleet.waitReady();
   gateway.signal('SIGTERM');
   const code = await gateway.ended();
-  if (code !== 0) throw new Error(`the gateway ended with ${String(code)}: ${gateway.log}`);
+  if (code !== 0) throw new Error(`the gateway exited with code ${String(code)}: ${gateway.log}`);
 }
 
-/** What a gateway can say of how a request was decided, for tracing a violation. */
+/** Returns what the gateways recorded about the decisions on a request, to trace a violation. */
 async function explainRequest(fleet: Fleet, requestId: string): Promise<string> {
   const replies = await Promise.all(
     fleet.gateways.map((gateway) =>
@@ -113,13 +118,13 @@
       }),
     ),
   );
-  return replies.map((story) => (story.isOk ? story.value.body : story.error.detail)).join('\n');
+  return replies.map((reply) => (reply.isOk ? reply.value.body : reply.error.detail)).join('\n');
 }
 
-/** A planned stop of an engine or host cuts off no request in progress. */
+/** A planned stop of an engine or host interrupts no request in progress. */
 export const plannedStop: Scenario = {
   name: 'planned-stop',
-  guarantee: 'a planned stop cuts off no request in progress',
+  guarantee: 'a planned stop interrupts no request in progress',
   fleet: FLEET,
   run: async (fleet, random) => {
     const balancer = new Balancer(fleet);
@@ -141,7 +146,7 @@
     const explanations = await Promise.all(
       refused.map(({ requestId }) => explainRequest(fleet, requestId)),
     );
-    for (const story of explanations) process.stderr.write(`${story}\n`);
+    for (const explanation of explanations) process.stderr.write(`${explanation}\n`);
     const faults = [isEngine ? 'engine-planned-stop' : 'gateway-planned-stop'];
     return { faults, codes: calls.map(({ code }) => code), violations: checkNoErrors(calls) };
   },
@@ -170,7 +175,7 @@
       fleet.engines,
       random.between(0, fleet.engines.length - 1),
     );
-    if (!selfReported || !listedLeaving) throw new Error('too few engines');
+    if (!selfReported || !listedLeaving) throw new Error('the fleet has fewer than two engines');
     const sinceMs = Date.now();
     await setFaults(selfReported.url, { leaving: true });
     await setListedState(fleet, listedLeaving.name, 'leaving');
--- a/packages/proof/src/sweep-fuzz.test.ts
+++ b/packages/proof/src/sweep-fuzz.test.ts
@@ -36,7 +36,7 @@
   advanceMs: fc.integer({ min: 0, max: 8000 }),
 });
 
-/** Hosts reserve, pause, wake and are replaced while a sweep looks. */
+/** Hosts that reserve memory, pause, resume and are replaced while a memory sweep runs. */
 class SweepSimulation {
   readonly clock = new ManualClock();
   readonly memory = new KvMemory(CAPACITY, this.clock, () => undefined);
@@ -94,7 +94,7 @@
     this.#lastPass = seen;
   }
 
-  async runStep({ kind, host: index, tokens, limitMs, advanceMs: byMs }: SweepStep): Promise<void> {
+  async runStep({ kind, host: index, tokens, limitMs, advanceMs }: SweepStep): Promise<void> {
     const host = this.hosts[index];
     if (!host) return;
     if (kind === 'sweep') this.sweep();
@@ -121,12 +121,12 @@
       host.claims.clear();
       host.isPaused = false;
     }
-    await this.clock.advance(byMs);
+    await this.clock.advance(advanceMs);
     this.renewAll();
   }
 }
 
-function sweepProperty(findReason: typeof findReleaseReason) {
+function makeSweepProperty(findReason: typeof findReleaseReason) {
   return fc.asyncProperty(fc.array(step, { maxLength: 50 }), async (steps) => {
     const simulation = new SweepSimulation(findReason);
     for (const nextStep of steps) {
@@ -144,14 +144,14 @@
   });
 }
 
-describe('the sweep of engine memory', () => {
-  it('frees everything in the end and robs nobody, whoever pauses or is replaced', async () => {
-    await fc.assert(sweepProperty(findReleaseReason), { seed: 61, numRuns: 1000 });
+describe('memory sweep of an engine', () => {
+  it('releases all memory in the end and none that is in use, when hosts pause or are replaced', async () => {
+    await fc.assert(makeSweepProperty(findReleaseReason), { seed: 61, numRuns: 1000 });
   });
 
-  it('is found out when it takes silence for death', async () => {
+  it('fails the same check if it takes a missing answer of the owner for a disclaimer', async () => {
     const result = await fc.check(
-      sweepProperty((held) => findReleaseReason(held, undefined) ?? 'owner_disclaims'),
+      makeSweepProperty((held) => findReleaseReason(held, undefined) ?? 'owner_disclaims'),
       { seed: 61, numRuns: 3000 },
     );
     expect(result.failed).toBe(true);
--- a/packages/proof/src/whole-path.test.ts
+++ b/packages/proof/src/whole-path.test.ts
@@ -4,7 +4,7 @@
 
 const FAST_ENGINE = { 'step-base-ms': 1, 'prefill-ms': 0.001 };
 
-describe('the whole path, as separate processes', () => {
+describe('end to end, with separate processes', () => {
   let fleet: Fleet;
 
   beforeAll(async () => {
@@ -32,19 +32,19 @@
     return { outcome, expected: expectedAnswer(prompt, 8) };
   }
 
-  it('streams the answer to a short question', async () => {
+  it('streams the answer to a short prompt', async () => {
     const { outcome, expected } = await ask(1000, 'balance');
     expect(outcome.code).toBe('ok');
     expect(outcome.text).toBe(expected);
   });
 
-  it('streams the answer to a prompt over twice the memory of one engine', async () => {
+  it('streams the answer to a prompt of more than twice the memory of one engine', async () => {
     const { outcome, expected } = await ask(950_000, 'contract');
     expect(outcome.code).toBe('ok');
     expect(outcome.text).toBe(expected);
   });
 
-  it('goes on with a stream at another host, after the last token that the caller has', async () => {
+  it('resumes a stream at another host, after the last token that the caller received', async () => {
     const prompt = makePrompt('resumed', 3000);
     const call = { key: sampleKey('members'), model: SAMPLE_MODEL, prompt, maxTokens: 16 };
     const abort = new AbortController();
@@ -66,7 +66,7 @@
     expect(remainder.tokens).toBe(15 - after.index);
   });
 
-  it('says why, at another host than the one that decided', async () => {
+  it('explains a decision at another host than the one that made it', async () => {
     const { outcome } = await ask(1200, 'why');
     const headers = { authorization: `Bearer ${sampleKey('members')}` };
     await waitUntil('the decision is known at the other host', async () => {
@@ -75,7 +75,7 @@
     });
   });
 
-  it('runs a call that may not be repeated once, at whichever hosts it is sent', async () => {
+  it('runs a call that may not be repeated once, whichever hosts it is sent to', async () => {
     const headers = {
       authorization: `Bearer ${sampleKey('members')}`,
       'idempotency-key': 'confirmation-1',
