--- a/packages/measure/src/timed-stream.ts
+++ b/packages/measure/src/timed-stream.ts
@@ -2,27 +2,30 @@
 import type { LoadSample } from '@poppypond/load';
 
 const MAX_SOCKETS = 4096;
-const IDLE_MS = 30_000;
-const agent = new Agent({ keepAlive: true, maxSockets: MAX_SOCKETS, timeout: IDLE_MS });
-const TOKEN_MARK = 'id: ';
+const IDLE_TIMEOUT_MS = 30_000;
+const agent = new Agent({ keepAlive: true, maxSockets: MAX_SOCKETS, timeout: IDLE_TIMEOUT_MS });
+const TOKEN_MARKER = 'id: ';
 
-/** A streamed call, to an engine or to a gateway. */
+/** A streamed call to an engine or a gateway. */
 export interface TimedCall {
   readonly url: string;
   readonly headers: Readonly<Record<string, string>>;
   readonly body: string;
   readonly tokens: number;
-  /** Text that stands only at the end of a whole stream. */
-  readonly doneMark: string;
+  /** Text that occurs only at the end of a complete stream. */
+  readonly doneMarker: string;
 }
 
-/** What a timed call found. */
+/** Outcome and times of a streamed call. */
 export type TimedResult = Pick<
   LoadSample,
   'code' | 'requestId' | 'firstTokenMs' | 'totalMs' | 'tokens' | 'retryAfterMs'
 >;
 
-/** Times the first token with as little work as possible, the same for an engine and a gateway. */
+/**
+ * Measures the times from `startedAt` to the first token and to the end of a stream. Does as little
+ * work as possible, and the same for an engine and a gateway.
+ */
 export function timeStream(call: TimedCall, startedAt: number): Promise<TimedResult> {
   return new Promise((resolve) => {
     let firstTokenMs: number | undefined;
@@ -44,10 +47,10 @@
     };
     const outgoing = startHttp(call.url, { method: 'POST', agent, headers }, (response) => {
       response.on('data', (chunk: Buffer) => {
-        if (firstTokenMs === undefined && chunk.includes(TOKEN_MARK)) {
+        if (firstTokenMs === undefined && chunk.includes(TOKEN_MARKER)) {
           firstTokenMs = performance.now() - startedAt;
         }
-        isDone ||= chunk.includes(call.doneMark);
+        isDone ||= chunk.includes(call.doneMarker);
       });
       response.once('close', end);
     });
