--- a/packages/proof/src/commands.ts
+++ b/packages/proof/src/commands.ts
@@ -5,10 +5,10 @@
   booleanSetting,
 } from '@poppypond/settings';
 import type { ProgramCommand } from '@poppypond/settings';
-import type { Scenario } from './proof.js';
-import { SCENARIOS } from './proofs.js';
-import { runScenario } from './run-proof.js';
-import type { ScenarioResult } from './run-proof.js';
+import type { Scenario } from './scenario.js';
+import { SCENARIOS } from './scenarios.js';
+import { runScenario } from './run-scenario.js';
+import type { ScenarioResult } from './run-scenario.js';
 
 const DEFAULT_RUNS = 100;
 const DEFAULT_SEED = 1;
--- a/packages/proof/src/run-proof.ts
+++ b/packages/proof/src/run-scenario.ts
@@ -1,5 +1,5 @@
 import { Fleet } from '@poppypond/launch';
-import type { Scenario, ScenarioRun } from './proof.js';
+import type { Scenario, ScenarioRun } from './scenario.js';
 import { ScenarioRandom } from './random.js';
 
 /** Totals of the runs of a scenario. */
--- a/packages/proof/src/proofs.test.ts
+++ b/packages/proof/src/scenarios.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest';
-import { SCENARIOS } from './proofs.js';
-import { runScenario } from './run-proof.js';
+import { SCENARIOS } from './scenarios.js';
+import { runScenario } from './run-scenario.js';
 
 const CI_RUNS = 3;
 const CI_SEED = 1;
--- a/packages/proof/src/proofs.ts
+++ b/packages/proof/src/scenarios.ts
@@ -1,4 +1,4 @@
-import type { Scenario } from './proof.js';
+import type { Scenario } from './scenario.js';
 import { atMostOnce } from './scenarios/at-most-once.js';
 import {
   engineMemory,
--- a/packages/proof/src/scenarios/at-most-once.ts
+++ b/packages/proof/src/scenarios/at-most-once.ts
@@ -6,7 +6,7 @@
 import { z } from 'zod';
 import { checkAtMostOnce, checkNotRun } from '../checkers/checkers.js';
 import type { ServiceCall, ServiceRun } from '../history.js';
-import type { Scenario } from '../proof.js';
+import type { Scenario } from '../scenario.js';
 import type { ScenarioRandom } from '../random.js';
 import { sleep } from './callers.js';
 import { freeze } from './faults.js';
--- a/packages/proof/src/scenarios/completions.ts
+++ b/packages/proof/src/scenarios/completions.ts
@@ -6,7 +6,7 @@
   checkWithinLimit,
 } from '../checkers/checkers.js';
 import type { CompletionCall } from '../history.js';
-import type { Scenario } from '../proof.js';
+import type { Scenario } from '../scenario.js';
 import { ask, sleep, makeRandomCall } from './callers.js';
 import {
   allRunRequests,
--- a/packages/proof/src/scenarios/controllers.ts
+++ b/packages/proof/src/scenarios/controllers.ts
@@ -3,7 +3,7 @@
 import { SAMPLE_MODEL } from '@poppypond/load';
 import { z } from 'zod';
 import { checkFences, checkNoGap } from '../checkers/checkers.js';
-import type { Scenario } from '../proof.js';
+import type { Scenario } from '../scenario.js';
 import type { ScenarioRandom } from '../random.js';
 import { sleep } from './callers.js';
 import { freeze } from './faults.js';
--- a/packages/proof/src/scenarios/planned.ts
+++ b/packages/proof/src/scenarios/planned.ts
@@ -5,7 +5,7 @@
 import { z } from 'zod';
 import { checkLeaving, checkNoErrors } from '../checkers/checkers.js';
 import type { CompletionCall } from '../history.js';
-import type { Scenario } from '../proof.js';
+import type { Scenario } from '../scenario.js';
 import type { ScenarioRandom } from '../random.js';
 import { ask, sleep } from './callers.js';
 import { readEngineTruth } from './faults.js';
