--- a/packages/relay/src/compose.ts
+++ b/packages/relay/src/compose.ts
@@ -48,7 +48,7 @@
   readonly clock: Clock;
   readonly output: BoundedOutput;
   readonly log: Log;
-  readonly measures: PrometheusMetrics;
+  readonly metrics: PrometheusMetrics;
   readonly activeConfiguration: ActiveConfiguration;
   readonly freshness: Freshness;
   readonly fleet: FleetView;
@@ -93,9 +93,9 @@
     fleet.forgetServer(id);
     limits.forget(id);
   });
-  const measures = new PrometheusMetrics();
+  const metrics = new PrometheusMetrics();
   const rests = new ServerBackoffs(random);
-  const notices = new ServerNotices({ clock, log, measures, host, servers, rests, limits });
+  const notices = new ServerNotices({ clock, log, metrics, host, servers, rests, limits });
   const gate = new SendGate({ clock, servers, rests, limits, random });
   const handlers = {
     onStartTime: (queried: BackendServer, startedAtMs: Milliseconds) => {
@@ -112,12 +112,12 @@
   });
   const syncState = new StoreSyncState({
     clock,
-    inForce: activeConfiguration,
+    activeConfiguration,
     freshness,
     list: servers,
   });
   const keyTrust = new KeyTrust(
-    { clock, log, measures, activeConfiguration, freshness, syncState },
+    { clock, log, metrics, activeConfiguration, freshness, syncState },
     {
       trustedMs: settings.keysTrustedMs - KEY_MARGIN_MS,
       needsConfirmation: settings.keysNeedProof,
@@ -126,19 +126,19 @@
   const quarantine = new SharedQuarantine({
     clock,
     log,
-    measures,
+    metrics,
     host,
     quarantine: new Quarantine(),
   });
   return {
     settings,
     ports,
-    store: new CountedStore(ports.store, measures),
+    store: new CountedStore(ports.store, metrics),
     incarnation,
     clock,
     output,
     log,
-    measures,
+    metrics,
     activeConfiguration,
     freshness,
     fleet,
@@ -238,7 +238,7 @@
   peers: PeerMesh,
   placement: PlacementClient,
 ): RelayParts {
-  const { clock, log, measures, activeConfiguration, freshness, keyTrust, quarantine } = base;
+  const { clock, log, metrics, activeConfiguration, freshness, keyTrust, quarantine } = base;
   const { fleet, servers, settings, pauseDetector } = base;
   const permits = new PermitClient({
     clock,
@@ -256,7 +256,7 @@
     clock,
     host: settings.host,
     log,
-    measures,
+    metrics,
     wire: base.ports.wire,
     memory: base.memory,
     activeConfiguration,
--- a/packages/relay/src/notices/send-gate.test.ts
+++ b/packages/relay/src/notices/send-gate.test.ts
@@ -25,9 +25,9 @@
   const servers = new ServerList(clock, silentLog, LAST_RESORT_MS);
   servers.replace(SERVERS, 0, 1);
   const rests = new ServerBackoffs(random);
-  const measures = new PrometheusMetrics();
+  const metrics = new PrometheusMetrics();
   const shared = { clock, servers, rests, limits: new ServerLimits() };
-  const notices = new ServerNotices({ ...shared, log: silentLog, measures, host: 'host-1' });
+  const notices = new ServerNotices({ ...shared, log: silentLog, metrics, host: 'host-1' });
   return { clock, servers, notices, gate: new SendGate({ ...shared, random }) };
 }
 
--- a/packages/relay/src/notices/server-notices.ts
+++ b/packages/relay/src/notices/server-notices.ts
@@ -17,7 +17,7 @@
 export interface ServerNoticesParts {
   readonly clock: Clock;
   readonly log: Log;
-  readonly measures: PrometheusMetrics;
+  readonly metrics: PrometheusMetrics;
   /** Name of this host. */
   readonly host: string;
   readonly servers: ServerList;
@@ -79,10 +79,10 @@
    * returns false if that was known.
    */
   recordLeaving(server: BackendServer, announcedAtMs: Milliseconds, reportedBy: string): boolean {
-    const { log, measures, servers } = this.parts;
+    const { log, metrics, servers } = this.parts;
     const listed = servers.stateOf(server);
     if (!servers.onLeaving(server, announcedAtMs)) return false;
-    measures.count('poppypond_server_words_total', { word: 'leaving' });
+    metrics.count('poppypond_server_words_total', { word: 'leaving' });
     log.warn('server_leaving', {
       server: server.id,
       service: server.service,
@@ -119,8 +119,8 @@
     reportedBy: string,
   ): boolean {
     if (change === undefined) return false;
-    const { limits, log, measures, servers } = this.parts;
-    measures.count('poppypond_server_words_total', { word: `limit_${change}` });
+    const { limits, log, metrics, servers } = this.parts;
+    metrics.count('poppypond_server_words_total', { word: `limit_${change}` });
     log.warn('server_limit', {
       server: server.id,
       service: server.service,
@@ -143,12 +143,12 @@
   }
 
   #recordBackoff(server: BackendServer, backoffMs: Milliseconds): void {
-    const { clock, log, measures, rests } = this.parts;
+    const { clock, log, metrics, rests } = this.parts;
     const nowMs = clock.monotonicMs();
     const { untilMs, isNew } = rests.begin(server, backoffMs, nowMs);
     if (!isNew) return;
     const forMs = untilMs - nowMs;
-    measures.count('poppypond_server_words_total', { word: 'rest' });
+    metrics.count('poppypond_server_words_total', { word: 'rest' });
     log.warn('server_rests', {
       server: server.id,
       service: server.service,
--- a/packages/relay/src/peers/datagram-sender.ts
+++ b/packages/relay/src/peers/datagram-sender.ts
@@ -18,14 +18,14 @@
 
   private constructor(
     readonly socket: Socket,
-    readonly measures: PrometheusMetrics,
+    readonly metrics: PrometheusMetrics,
   ) {}
 
   /** Binds `address:port`. Rejects if the port is in use. */
   static async bind(
     address: string,
     port: number,
-    measures: PrometheusMetrics,
+    metrics: PrometheusMetrics,
     listener: MessageListener,
   ) {
     const socket = createSocket('udp4');
@@ -40,7 +40,7 @@
       const message = decodeMessage(datagram);
       if (message) listener(message, from.address);
     });
-    return new DatagramSender(socket, measures);
+    return new DatagramSender(socket, metrics);
   }
 
   send(address: string, port: number, message: PeerMessage): void {
@@ -50,8 +50,8 @@
     }
     if (this.#isClosed) return;
     const { kind } = message;
-    this.measures.count('poppypond_peer_messages_total', { kind });
-    this.measures.count('poppypond_peer_bytes_total', { kind }, this.#lastBytes.length);
+    this.metrics.count('poppypond_peer_messages_total', { kind });
+    this.metrics.count('poppypond_peer_bytes_total', { kind }, this.#lastBytes.length);
     this.#pending += 1;
     this.socket.send(this.#lastBytes, port, address, () => {
       this.#pending -= 1;
--- a/packages/relay/src/peers/mocks/mesh-network.ts
+++ b/packages/relay/src/peers/mocks/mesh-network.ts
@@ -103,11 +103,11 @@
     const list = new ServerList(clock, silentLog);
     const fleet = new FleetView();
     this.#incarnations += 1;
-    const syncState = new StoreSyncState({ clock, inForce: activeConfiguration, freshness, list });
+    const syncState = new StoreSyncState({ clock, activeConfiguration, freshness, list });
     const own = {
       clock,
       log: silentLog,
-      measures: new PrometheusMetrics(),
+      metrics: new PrometheusMetrics(),
       host: addressOf(port).host,
     };
     const rests = new ServerBackoffs(random);
--- a/packages/relay/src/peers/store-sync-state.ts
+++ b/packages/relay/src/peers/store-sync-state.ts
@@ -24,7 +24,7 @@
 /** Dependencies of `StoreSyncState`. */
 export interface StoreSyncStateParts {
   readonly clock: Clock;
-  readonly inForce: ActiveConfiguration;
+  readonly activeConfiguration: ActiveConfiguration;
   readonly freshness: Freshness;
   readonly list: ServerList;
 }
@@ -65,9 +65,9 @@
 
   /** The versions that this host reports to its peers. */
   get ownVersions(): StoreVersions {
-    const { inForce, list } = this.parts;
+    const { activeConfiguration, list } = this.parts;
     return {
-      configurationVersion: inForce.version,
+      configurationVersion: activeConfiguration.version,
       listDigest: list.digest,
       listVersion: list.listed.version,
     };
@@ -85,7 +85,7 @@
 
   /** Whether a peer has a newer configuration. */
   get isConfigurationBehind(): boolean {
-    return this.#newestPeerConfiguration.version > this.parts.inForce.version;
+    return this.#newestPeerConfiguration.version > this.parts.activeConfiguration.version;
   }
 
   /** Whether a peer has a newer server list. */
@@ -127,11 +127,11 @@
 
   /** Applies a configuration that a peer has read. Returns false if it is invalid or not newer. */
   applyConfiguration(bytes: Buffer, configurationVersion: number): boolean {
-    const before = this.parts.inForce.version;
+    const before = this.parts.activeConfiguration.version;
     this.#onConfigurationReceived(bytes);
     this.#recordConfigurationVersion(configurationVersion);
     this.#notifyIfBehind();
-    return this.parts.inForce.version > before;
+    return this.parts.activeConfiguration.version > before;
   }
 
   /** Applies a server list that a peer has read. Returns false if it is not newer. */
@@ -172,9 +172,12 @@
 
   /** Compares the versions that a peer reports; equal ones confirm this host's as of the peer's times. */
   onDatedPeerVersions(word: DatedStoreVersions): void {
-    const { inForce, freshness, list } = this.parts;
+    const { activeConfiguration, freshness, list } = this.parts;
     this.#recordConfigurationVersion(word.configurationVersion);
-    if (word.configurationVersion === inForce.version && word.configurationAtMs !== undefined) {
+    if (
+      word.configurationVersion === activeConfiguration.version &&
+      word.configurationAtMs !== undefined
+    ) {
       freshness.confirm(word.configurationAtMs);
     }
     if (word.listAtMs !== undefined) {
--- a/packages/relay/src/quarantine/shared-quarantine.ts
+++ b/packages/relay/src/quarantine/shared-quarantine.ts
@@ -13,7 +13,7 @@
 export interface SharedQuarantineParts {
   readonly clock: Clock;
   readonly log: Log;
-  readonly measures: PrometheusMetrics;
+  readonly metrics: PrometheusMetrics;
   /** Name of this host. */
   readonly host: string;
   readonly quarantine: Quarantine;
@@ -123,10 +123,10 @@
 
   /** Removes entries that no longer have an effect. */
   expire(): void {
-    const { clock, measures, quarantine } = this.parts;
+    const { clock, metrics, quarantine } = this.parts;
     const nowMs = clock.monotonicMs();
     quarantine.expire(nowMs);
-    measures.set('poppypond_requests_quarantined', quarantine.quarantinedCount(nowMs));
+    metrics.set('poppypond_requests_quarantined', quarantine.quarantinedCount(nowMs));
   }
 
   get #graceMs(): Milliseconds {
@@ -144,9 +144,9 @@
   }
 
   #log(change: 'held' | 'freed' | 'trial', entry: QuarantineEntry, reportedBy: string): void {
-    const { clock, log, measures } = this.parts;
+    const { clock, log, metrics } = this.parts;
     const nowMs = clock.monotonicMs();
-    measures.count('poppypond_quarantine_changes_total', { change });
+    metrics.count('poppypond_quarantine_changes_total', { change });
     log.warn('quarantine', {
       change,
       content: entry.content,
--- a/packages/relay/src/quarantine/termination-detector.test.ts
+++ b/packages/relay/src/quarantine/termination-detector.test.ts
@@ -50,7 +50,7 @@
 function createDetector() {
   const clock = new SystemClock();
   const servers = new ServerList(clock, silentLog);
-  const shared = { clock, log: silentLog, measures: new PrometheusMetrics(), host: 'host-1' };
+  const shared = { clock, log: silentLog, metrics: new PrometheusMetrics(), host: 'host-1' };
   const quarantine = new SharedQuarantine({ ...shared, quarantine: new Quarantine() });
   const found: ProbedServer[] = [];
   const follow = (body: string, caller = CALLER) => {
@@ -68,7 +68,7 @@
 describe('SharedQuarantine', () => {
   it('returns the time until this host, not the first in rank, allows the trial run', async () => {
     const clock = new ManualClock();
-    const shared = { clock, log: silentLog, measures: new PrometheusMetrics(), host: 'host-4' };
+    const shared = { clock, log: silentLog, metrics: new PrometheusMetrics(), host: 'host-4' };
     const quarantine = new SharedQuarantine({ ...shared, quarantine: new Quarantine() });
     quarantine.setRankSource(() => 3);
     const followed = () => new FollowedRequest(quarantine, contentOf(CALLER, 'w', Buffer.from('')));
--- a/packages/relay/src/relay-gauges.ts
+++ b/packages/relay/src/relay-gauges.ts
@@ -8,13 +8,13 @@
 
   /** `openCount` is the number of requests being served. */
   set(openCount: number, peers: PeerMesh, planner: Planner): void {
-    const { freshness, activeConfiguration, keyTrust, measures, servers } = this.base;
+    const { freshness, activeConfiguration, keyTrust, metrics, servers } = this.base;
     keyTrust.verdict();
-    measures.set('poppypond_requests_open', openCount);
-    measures.set('poppypond_configuration_version', activeConfiguration.version);
-    measures.set('poppypond_configuration_age_milliseconds', freshness.ageMs());
-    measures.set('poppypond_backend_servers', servers.size);
-    measures.set('poppypond_peers', peers.aliveCount);
+    metrics.set('poppypond_requests_open', openCount);
+    metrics.set('poppypond_configuration_version', activeConfiguration.version);
+    metrics.set('poppypond_configuration_age_milliseconds', freshness.ageMs());
+    metrics.set('poppypond_backend_servers', servers.size);
+    metrics.set('poppypond_peers', peers.aliveCount);
     this.#setLimits(planner);
   }
 
@@ -22,13 +22,13 @@
    * Sets the rate limits that servers report now, and the permits that this host granted from them.
    */
   #setLimits(planner: Planner): void {
-    const { clock, limits, measures } = this.base;
+    const { clock, limits, metrics } = this.base;
     const named = limits.all(clock.monotonicMs()).filter(({ isLifted }) => !isLifted);
     const rates = named.map(({ server, perSecond }) => [server.id, perSecond] as const);
     const granted = named.map(
       ({ server }) => [server.id, planner.recentlyGranted(server)] as const,
     );
-    measures.replaceSeries('poppypond_server_limit_per_second', new Map(rates));
-    measures.replaceSeries('poppypond_server_limit_given', new Map(granted));
+    metrics.replaceSeries('poppypond_server_limit_per_second', new Map(rates));
+    metrics.replaceSeries('poppypond_server_limit_given', new Map(granted));
   }
 }
--- a/packages/relay/src/relay.ts
+++ b/packages/relay/src/relay.ts
@@ -102,7 +102,7 @@
     const sender = await DatagramSender.bind(
       settings.address,
       settings.peerPort,
-      this.#base.measures,
+      this.#base.metrics,
       (message, from) => {
         pauseDetector.check();
         this.#components?.peers.receive(message, from);
@@ -209,7 +209,7 @@
   /** Opens the ports for readiness checks and metrics. */
   async #openStatusServers(): Promise<void> {
     const { settings, ports } = this;
-    const { measures } = this.#base;
+    const { metrics } = this.#base;
     const readiness = splitAddress(settings.readinessListen);
     const readinessPages = {
       [ports.wire.readinessPath]: readinessPage(() => this.#isReady()),
@@ -217,7 +217,7 @@
     this.#onStop.push(
       closerOf(await serveStatusPages(readiness.address, readiness.port, readinessPages)),
     );
-    const metricsPages = { '/metrics': textPage(() => measures.text()) };
+    const metricsPages = { '/metrics': textPage(() => metrics.text()) };
     this.#onStop.push(
       closerOf(await serveStatusPages(settings.address, settings.metricsPort, metricsPages)),
     );
--- a/packages/relay/src/request/relay-parts.ts
+++ b/packages/relay/src/request/relay-parts.ts
@@ -18,7 +18,7 @@
   readonly clock: Clock;
   readonly host: string;
   readonly log: Log;
-  readonly measures: PrometheusMetrics;
+  readonly metrics: PrometheusMetrics;
   readonly wire: RelayWire;
   readonly memory: EngineMemory;
   readonly activeConfiguration: ActiveConfiguration;
--- a/packages/relay/src/request/request-handler.ts
+++ b/packages/relay/src/request/request-handler.ts
@@ -50,9 +50,9 @@
   }
 
   #refuse(reason: Fault, request: string, answer: CallerResponse): void {
-    const { freshness, activeConfiguration, log, measures } = this.parts;
+    const { freshness, activeConfiguration, log, metrics } = this.parts;
     answer.refuse(reason);
-    measures.count('poppypond_requests_total', { kind: 'none', code: reason.code });
+    metrics.count('poppypond_requests_total', { kind: 'none', code: reason.code });
     log.warn('refused', {
       request,
       code: reason.code,
--- a/packages/relay/src/request/request-telemetry.ts
+++ b/packages/relay/src/request/request-telemetry.ts
@@ -52,7 +52,7 @@
   ): void {
     const stream = plan?.stream;
     const rule = stream?.rule ?? 'least_outstanding';
-    if (stream) this.parts.measures.count('poppypond_placements_total', { rule });
+    if (stream) this.parts.metrics.count('poppypond_placements_total', { rule });
     this.parts.log.info('placed', {
       request: this.caller.requestId,
       attempt,
@@ -84,7 +84,7 @@
   ): void {
     const afterMs = this.#sinceArrivalMs();
     this.#firstEventMs ??= afterMs;
-    this.parts.measures.observe('poppypond_first_event_milliseconds', afterMs, {
+    this.parts.metrics.observe('poppypond_first_event_milliseconds', afterMs, {
       size: this.#size,
     });
     this.parts.log.info('first_event', {
@@ -104,12 +104,12 @@
     this.#lastEventAtMs = nowMs;
     if (gapMs === undefined) return;
     this.#longestGapMs = Math.max(this.#longestGapMs, gapMs);
-    this.parts.measures.observe('poppypond_event_gap_milliseconds', gapMs, { size: this.#size });
+    this.parts.metrics.observe('poppypond_event_gap_milliseconds', gapMs, { size: this.#size });
   }
 
   attemptEnded(end: string): void {
     const { kind } = this.admitted.route;
-    this.parts.measures.count('poppypond_attempts_total', { kind, end });
+    this.parts.metrics.count('poppypond_attempts_total', { kind, end });
   }
 
   attemptFailed(server: BackendServer, failure: AttemptFailure, why: string, again: boolean): void {
@@ -119,8 +119,8 @@
 
   /** Records that the send gate blocked a chosen server. */
   sendBlocked(server: string, why: BlockReason): void {
-    const { log, measures, servers } = this.parts;
-    measures.count('poppypond_sends_held_back_total', { why });
+    const { log, metrics, servers } = this.parts;
+    metrics.count('poppypond_sends_held_back_total', { why });
     log.info('send_held_back', {
       request: this.caller.requestId,
       server,
@@ -134,7 +134,7 @@
     const request = this.caller.requestId;
     const { workspace } = this.admitted;
     const line = { request, content, workspace, server: server.id, found, why, ends };
-    this.parts.measures.count('poppypond_servers_asked_total', { state: found });
+    this.parts.metrics.count('poppypond_servers_asked_total', { state: found });
     this.parts.log.warn('server_asked', line);
   }
 
@@ -153,7 +153,7 @@
 
   retryRefused({ failure, decision, attempts, leftMs }: RefusedRetry): void {
     const { why } = decision;
-    this.parts.measures.count('poppypond_retries_refused_total', { why });
+    this.parts.metrics.count('poppypond_retries_refused_total', { why });
     this.parts.log.warn('retry_refused', {
       request: this.caller.requestId,
       failure,
@@ -175,12 +175,12 @@
   }
 
   answered(end: ResponseSummary): void {
-    const { log, measures } = this.parts;
+    const { log, metrics } = this.parts;
     const { kind, name, aimMs, gapAimMs } = this.admitted.route;
     const isStream = kind === 'stream';
     const tookMs = this.#sinceArrivalMs();
-    measures.count('poppypond_requests_total', { kind, code: end.code });
-    if (!isStream) measures.observe('poppypond_call_milliseconds', tookMs, { kind });
+    metrics.count('poppypond_requests_total', { kind, code: end.code });
+    if (!isStream) metrics.observe('poppypond_call_milliseconds', tookMs, { kind });
     const line = {
       request: this.caller.requestId,
       code: end.code,
--- a/packages/relay/src/store/configuration-watch.test.ts
+++ b/packages/relay/src/store/configuration-watch.test.ts
@@ -54,7 +54,7 @@
       rows: ROWS,
       activeConfiguration,
       freshness,
-      syncState: new StoreSyncState({ clock, inForce: activeConfiguration, freshness, list }),
+      syncState: new StoreSyncState({ clock, activeConfiguration, freshness, list }),
       turns,
       withinMs: 1999,
       onChange: () => undefined,
--- a/packages/relay/src/store/counted-store.ts
+++ b/packages/relay/src/store/counted-store.ts
@@ -11,7 +11,7 @@
 export class CountedStore {
   constructor(
     readonly store: RowStore,
-    readonly measures: PrometheusMetrics,
+    readonly metrics: PrometheusMetrics,
   ) {}
 
   /** Reads all rows of a table. */
@@ -57,7 +57,7 @@
   ): Promise<Result<Value, StoreFailure>> {
     const answer = await call;
     const result = answer.isOk ? 'ok' : answer.error.kind;
-    this.measures.count('poppypond_store_calls_total', { operation, result, reason });
+    this.metrics.count('poppypond_store_calls_total', { operation, result, reason });
     return answer;
   }
 }
--- a/packages/relay/src/store/key-trust.ts
+++ b/packages/relay/src/store/key-trust.ts
@@ -13,7 +13,7 @@
 export interface KeyTrustParts {
   readonly clock: Clock;
   readonly log: Log;
-  readonly measures: PrometheusMetrics;
+  readonly metrics: PrometheusMetrics;
   readonly activeConfiguration: ActiveConfiguration;
   readonly freshness: Freshness;
   readonly syncState: StoreSyncState;
@@ -42,7 +42,7 @@
   }
 
   #onChange(verdict: KeyVerdict, ageMs: Milliseconds, isBehind: boolean): void {
-    const { clock, log, measures, activeConfiguration } = this.parts;
+    const { clock, log, metrics, activeConfiguration } = this.parts;
     const nowMs = clock.monotonicMs();
     log.warn('keys_judged', {
       keys: verdict,
@@ -54,8 +54,8 @@
       trusted_ms: this.settings.trustedMs,
       needs_proof: this.settings.needsConfirmation,
     });
-    measures.set('poppypond_configuration_unproved', verdict === 'unproved' ? 1 : 0);
-    measures.count('poppypond_key_judgements_total', { keys: verdict });
+    metrics.set('poppypond_configuration_unproved', verdict === 'unproved' ? 1 : 0);
+    metrics.count('poppypond_key_judgements_total', { keys: verdict });
     this.#lastVerdict = verdict;
     this.#lastChangeAtMs = nowMs;
   }
--- a/packages/relay/src/store/server-watch.test.ts
+++ b/packages/relay/src/store/server-watch.test.ts
@@ -48,7 +48,7 @@
   const activeConfiguration = new ActiveConfiguration();
   const syncState = new StoreSyncState({
     clock,
-    inForce: activeConfiguration,
+    activeConfiguration,
     freshness: new Freshness(clock),
     list,
   });
