--- a/packages/relay/src/backend/event-frames.ts
+++ b/packages/relay/src/backend/event-frames.ts
@@ -16,15 +16,17 @@
 }
 
 /**
- * Returns the numeric id of an event, or undefined if it has none. Reads the `id` line directly: event
- * stream parsers skip events without data, and those must not be delivered twice either.
+ * Returns the numeric id of an event, or undefined if it has none. Reads the `id` line directly:
+ * event stream parsers skip events without data, and those must not be delivered twice either.
  */
 function idOf(frame: Buffer): number | undefined {
   const id = /^id:[ ]?(\d+)\r?$/m.exec(frame.toString('latin1'))?.[1];
   return id === undefined ? undefined : Number(id);
 }
 
-/** Splits a byte stream into complete events without changing a byte; buffers an incomplete event. */
+/**
+ * Splits a byte stream into complete events without changing a byte; buffers an incomplete event.
+ */
 export class EventFrameSplitter {
   #partial: Buffer = Buffer.alloc(0);
 
--- a/packages/relay/src/backend/gated-engine-memory.test.ts
+++ b/packages/relay/src/backend/gated-engine-memory.test.ts
@@ -7,8 +7,8 @@
 const NOTICE: ServerNotice = { isLeaving: true, backoffMs: undefined };
 
 /**
- * An engine that answers everything and records what it is sent. `backoffMs`: its remaining backoff;
- * `maxCommands`: reservation commands that it may still be sent.
+ * An engine that answers everything and records what it is sent. `backoffMs`: its remaining
+ * backoff; `maxCommands`: reservation commands that it may still be sent.
  */
 function engine(backoffMs: number, maxCommands: number) {
   const sent: string[] = [];
--- a/packages/relay/src/backend/gated-engine-memory.ts
+++ b/packages/relay/src/backend/gated-engine-memory.ts
@@ -8,15 +8,24 @@
   ServerNotice,
 } from '../ports.js';
 
-/** Receives what engines report about themselves in answers to reservation commands and status queries. */
+/**
+ * Receives what engines report about themselves in answers to reservation commands and status
+ * queries.
+ */
 export interface EngineObserver {
-  /** Reports the start time of the incarnation that answered; `asked` is the incarnation that was queried. */
+  /**
+   * Reports the start time of the incarnation that answered; `asked` is the incarnation that was
+   * queried.
+   */
   onStartTime(asked: BackendServer, startedAtMs: Milliseconds): void;
   /** Reports an engine's notice: leaving, backoff or rate limit. */
   onNotice(asked: BackendServer, word: ServerNotice): void;
 }
 
-/** Decides by an engine's own notices whether it may be sent a reservation command or a status query now. */
+/**
+ * Decides by an engine's own notices whether it may be sent a reservation command or a status query
+ * now.
+ */
 export interface EngineGate {
   tryReservationCommand(server: BackendServer): boolean;
   tryStatusQuery(server: BackendServer): Promise<boolean>;
@@ -30,8 +39,8 @@
 const MAX_RESERVATION_MS: Milliseconds = 10_000;
 
 /**
- * Rate-limited engines get longer reservations and so fewer commands; memory left by a crashed host is still freed
- * soon.
+ * Rate-limited engines get longer reservations and so fewer commands; memory left by a crashed host
+ * is still freed soon.
  */
 const LIMITED_RESERVATION_MS: Milliseconds = 3500;
 
@@ -43,15 +52,15 @@
 }
 
 /**
- * Status of an engine that may not be queried, during a backoff or for want of a permit. It counts as alive, as it
- * answered a moment ago; its load is unknown.
+ * Status of an engine that may not be queried, during a backoff or for want of a permit. It counts
+ * as alive, as it answered a moment ago; its load is unknown.
  */
 const UNQUERIED_STATUS: EngineStatus = { running: 0, memoryTokens: 0 };
 
 /**
- * Decorates `EngineMemory`. Reports start times and notices from all answers to the observer: a restarted engine
- * answers as before, although its reservations and running requests are lost. Sends an engine only what the gate
- * allows.
+ * Decorates `EngineMemory`. Reports start times and notices from all answers to the observer: a
+ * restarted engine answers as before, although its reservations and running requests are lost.
+ * Sends an engine only what the gate allows.
  */
 export class GatedEngineMemory implements EngineMemory {
   constructor(
--- a/packages/relay/src/backend/memory-reservation.ts
+++ b/packages/relay/src/backend/memory-reservation.ts
@@ -16,7 +16,10 @@
   /** The engine that generates the answer. */
   readonly decodeEngine: BackendServer;
   readonly needs: readonly MemoryNeed[];
-  /** Called when the decode engine no longer answers status queries; the reservations expire soon after. */
+  /**
+   * Called when the decode engine no longer answers status queries; the reservations expire soon
+   * after.
+   */
   readonly onDecodeEngineLost: (engine: BackendServer) => void;
 }
 
@@ -52,7 +55,10 @@
     readonly use: ReservationRequest,
   ) {}
 
-  /** Reserves memory on all engines. Releases everything and returns undefined if one of them does not reserve it. */
+  /**
+   * Reserves memory on all engines. Releases everything and returns undefined if one of them does
+   * not reserve it.
+   */
   static async acquire(
     parts: MemoryReservationParts,
     id: string,
@@ -78,7 +84,10 @@
     return held;
   }
 
-  /** Releases everything. Retries a few times where no answer comes; after that the reservation expires by itself. */
+  /**
+   * Releases everything. Retries a few times where no answer comes; after that the reservation
+   * expires by itself.
+   */
   async release(): Promise<void> {
     if (this.#isReleased) return;
     this.#isReleased = true;
@@ -87,9 +96,9 @@
   }
 
   /**
-   * Renews the reservations while the decode engine answers status queries. An engine that has died no longer
-   * uses the memory, but its attempt may run until its deadline if it may not be retried: renewals would then
-   * keep the memory reserved for 5 s and longer.
+   * Renews the reservations while the decode engine answers status queries. An engine that has died
+   * no longer uses the memory, but its attempt may run until its deadline if it may not be retried:
+   * renewals would then keep the memory reserved for 5 s and longer.
    */
   async #renew(): Promise<void> {
     const wasResponsive = this.#isDecodeEngineResponsive;
@@ -107,7 +116,8 @@
 
   async #reserveOne({ server, tokens }: MemoryNeed): Promise<boolean> {
     const { clock, memory } = this.parts;
-    // During a backoff of the engine one command reserves the memory until the next command may be sent.
+    // During a backoff of the engine one command reserves the memory until the next command may be
+    // sent.
     const nowMs = clock.monotonicMs();
     if ((this.#reservedUntilMs.get(server.id) ?? 0) > nowMs + RESERVATION_MS) return true;
     const { isHeld, heldForMs = RESERVATION_MS } = await memory.reserve(
--- a/packages/relay/src/backend/server-attempt.ts
+++ b/packages/relay/src/backend/server-attempt.ts
@@ -21,9 +21,10 @@
 }
 
 /**
- * How an attempt ended. `not_sent`: no connection came up, so no byte was sent. `whole`: a complete response with
- * its body, of any status. `events_done`: an event stream ended cleanly. `broken`: the connection failed or the
- * response was invalid, and the server may have run the request. `cancelled`: by this host.
+ * How an attempt ended. `not_sent`: no connection came up, so no byte was sent. `whole`: a complete
+ * response with its body, of any status. `events_done`: an event stream ended cleanly. `broken`:
+ * the connection failed or the response was invalid, and the server may have run the request.
+ * `cancelled`: by this host.
  */
 export type AttemptOutcome =
   | { readonly kind: 'not_sent'; readonly detail: string }
@@ -54,15 +55,18 @@
 }
 
 /**
- * Runs one attempt on a connection of its own, so that bytes of an earlier response can't be mistaken for this
- * one, and bytes after its end are ignored.
+ * Runs one attempt on a connection of its own, so that bytes of an earlier response can't be
+ * mistaken for this one, and bytes after its end are ignored.
  */
 export class ServerAttempt {
   readonly done: Promise<AttemptOutcome>;
   #resolveDone: (end: AttemptOutcome) => void = () => undefined;
   #isFinished = false;
   #isConnected = false;
-  /** Tracked because Node reports a response without a length as complete even if its connection was reset. */
+  /**
+   * Tracked because Node reports a response without a length as complete even if its connection was
+   * reset.
+   */
   #isReset = false;
   #cancelConnectTimeout: CancelTimer = () => undefined;
   readonly #request: ClientRequest;
@@ -109,8 +113,8 @@
       socket.once('error', () => {
         this.#isReset = true;
       });
-      // Node reports a reset that arrives together with data as a clean end; only in that case the socket
-      // has no remote address. The address must not be read earlier, as Node caches it.
+      // Node reports a reset that arrives together with data as a clean end; only in that case the
+      // socket has no remote address. The address must not be read earlier, as Node caches it.
       socket.prependOnceListener('end', () => {
         if (socket.remoteAddress === undefined) this.#isReset = true;
       });
--- a/packages/relay/src/notices/limits-of-all-hosts.test.ts
+++ b/packages/relay/src/notices/limits-of-all-hosts.test.ts
@@ -13,7 +13,10 @@
 const ENGINES = 4;
 const PER_SECOND = 2;
 const WINDOW_MS: Milliseconds = 4000;
-/** What the limit allows in the window, plus one saved permit and one that becomes available within it. */
+/**
+ * What the limit allows in the window, plus one saved permit and one that becomes available within
+ * it.
+ */
 const EXPECTED_MAX = (PER_SECOND * WINDOW_MS) / 1000 + 2;
 /** The most that a server may receive while hosts fail, as a failure is not detected at once. */
 const FAILURE_MAX = (1.5 * PER_SECOND * WINDOW_MS) / 1000 + 5;
--- a/packages/relay/src/notices/permit-client.ts
+++ b/packages/relay/src/notices/permit-client.ts
@@ -28,17 +28,20 @@
 }
 
 /**
- * Shortest delay before a server without a free permit is requested again, so that hosts don't all request its next
- * one.
+ * Shortest delay before a server without a free permit is requested again, so that hosts don't all
+ * request its next one.
  */
 const MIN_RETRY_DELAY_MS: Milliseconds = 50;
 const MAX_RETRY_DELAY_MS: Milliseconds = 2000;
-/** Longest wait of a reservation command or a status query for the answer of the host that grants permits. */
+/**
+ * Longest wait of a reservation command or a status query for the answer of the host that grants
+ * permits.
+ */
 const REQUEST_TIMEOUT_MS: Milliseconds = 200;
 
 /**
- * Requests permits from the host that grants them, for what is not planned: calls, reservation commands and status
- * queries.
+ * Requests permits from the host that grants them, for what is not planned: calls, reservation
+ * commands and status queries.
  */
 export class PermitClient {
   readonly #unavailableUntilMs = new Map<string, Milliseconds>();
@@ -64,7 +67,10 @@
     return undefined;
   }
 
-  /** Reports one request to a server that is sent without a permit, so that it is counted against the limit. */
+  /**
+   * Reports one request to a server that is sent without a permit, so that it is counted against
+   * the limit.
+   */
   recordUse(server: BackendServer): void {
     this.parts.placement.notify(this.#requestFor(server, true));
   }
--- a/packages/relay/src/notices/send-gate.ts
+++ b/packages/relay/src/notices/send-gate.ts
@@ -38,21 +38,31 @@
 };
 
 /**
- * Jitter for the retries of callers that are refused while all servers are in a backoff: if all retried at the end
- * of the first backoff, they would cause the next one. About as long as the ramp-up of a server.
+ * Jitter for the retries of callers that are refused while all servers are in a backoff: if all
+ * retried at the end of the first backoff, they would cause the next one. About as long as the
+ * ramp-up of a server.
  */
 const CALLER_RETRY_JITTER_MS: Milliseconds = 500;
-/** A permit that is not used within this time expires, as the limit yields further permits meanwhile. */
+/**
+ * A permit that is not used within this time expires, as the limit yields further permits
+ * meanwhile.
+ */
 const PERMIT_LIFETIME_MS: Milliseconds = 1000;
-/** After a process pause, messages that queued up during the pause are processed within this time. */
+/**
+ * After a process pause, messages that queued up during the pause are processed within this time.
+ */
 const PAUSE_BACKLOG_MS: Milliseconds = 100;
-/** Retry delay during a ramp-up: the server takes the next request as soon as another one is answered. */
+/**
+ * Retry delay during a ramp-up: the server takes the next request as soon as another one is
+ * answered.
+ */
 const RAMP_UP_POLL_MS: Milliseconds = 20;
 
 /**
- * Decides by servers' own notices whether this host may send them anything. Unlike the avoidance of suspected
- * servers, which is a preference and is ignored if too many are suspected, this is binding. It is consulted when a
- * server is chosen and again right before the first byte is sent, as the choice may come from another host or be old.
+ * Decides by servers' own notices whether this host may send them anything. Unlike the avoidance of
+ * suspected servers, which is a preference and is ignored if too many are suspected, this is
+ * binding. It is consulted when a server is chosen and again right before the first byte is sent,
+ * as the choice may come from another host or be old.
  */
 export class SendGate {
   #permits: PermitSource = NO_PERMITS;
@@ -60,7 +70,10 @@
 
   constructor(readonly parts: SendGateParts) {}
 
-  /** Returns the servers of a service that may be sent a request now, in an order that is the same on all hosts. */
+  /**
+   * Returns the servers of a service that may be sent a request now, in an order that is the same
+   * on all hosts.
+   */
   usableServers(service: string): readonly BackendServer[] {
     const { rests, servers } = this.parts;
     const ready = servers.available(service);
@@ -69,14 +82,16 @@
     return sendable.length > 0 ? sendable : this.#sendable(servers.lastResort(service));
   }
 
-  /** Whether a server is in a backoff or in the ramp-up after one, in which it may ask for another. */
+  /**
+   * Whether a server is in a backoff or in the ramp-up after one, in which it may ask for another.
+   */
   isRecovering(server: BackendServer): boolean {
     return this.parts.rests.isRecovering(server);
   }
 
   /**
-   * Returns the ids of listed servers of a service that this host may send nothing now. Plan requests carry them, as
-   * planners may have received other notices.
+   * Returns the ids of listed servers of a service that this host may send nothing now. Plan
+   * requests carry them, as planners may have received other notices.
    */
   excludedIds(service: string): readonly string[] {
     const { rests, servers } = this.parts;
@@ -89,8 +104,8 @@
   }
 
   /**
-   * Returns how long it takes until some server of a service may be sent a request; 0 if one may now, undefined if
-   * none is listed.
+   * Returns how long it takes until some server of a service may be sent a request; 0 if one may
+   * now, undefined if none is listed.
    */
   nextUsableInMs(service: string): Milliseconds | undefined {
     if (this.usableServers(service).length > 0) return 0;
@@ -104,14 +119,17 @@
     );
   }
 
-  /** Returns the jittered retry delay of a caller that is refused because no server may be sent its request. */
+  /**
+   * Returns the jittered retry delay of a caller that is refused because no server may be sent its
+   * request.
+   */
   callerRetryDelayMs(nextUsableInMs: Milliseconds): Milliseconds {
     return nextUsableInMs + this.parts.random() * CALLER_RETRY_JITTER_MS;
   }
 
   /**
-   * Checks an attempt right before it is sent. Returns undefined and counts the attempt as sent if all of its servers
-   * may be sent it; otherwise returns the id of a server that may not, and why.
+   * Checks an attempt right before it is sent. Returns undefined and counts the attempt as sent if
+   * all of its servers may be sent it; otherwise returns the id of a server that may not, and why.
    */
   admitAttempt(
     attempt: AttemptServers,
@@ -126,7 +144,10 @@
     return undefined;
   }
 
-  /** Records that the head of a response arrived: the server accepted the request and asks for no backoff. */
+  /**
+   * Records that the head of a response arrived: the server accepted the request and asks for no
+   * backoff.
+   */
   onAnswered(server: BackendServer, attemptId: string): void {
     this.parts.rests.onAnswered(server, attemptId);
   }
@@ -158,9 +179,9 @@
   }
 
   /**
-   * Whether an engine may be sent a reservation command; counts the few that are allowed during a backoff. A
-   * rate-limited engine is sent commands without a permit, which are counted against its limit: without them a running
-   * request would lose its memory, or memory would stay reserved.
+   * Whether an engine may be sent a reservation command; counts the few that are allowed during a
+   * backoff. A rate-limited engine is sent commands without a permit, which are counted against its
+   * limit: without them a running request would lose its memory, or memory would stay reserved.
    */
   tryReservationCommand(server: BackendServer): boolean {
     const { clock, rests } = this.parts;
@@ -188,8 +209,8 @@
   }
 
   /**
-   * Finds out whether the permit for a rate-limited server is missing or expired. The granting host counts what all
-   * hosts send, so nothing is sent without a permit.
+   * Finds out whether the permit for a rate-limited server is missing or expired. The granting host
+   * counts what all hosts send, so nothing is sent without a permit.
    */
   #findLimitBlock(server: BackendServer, permit: SendPermit | undefined): BlockReason | undefined {
     if (!this.isLimited(server)) return undefined;
@@ -200,8 +221,8 @@
   }
 
   /**
-   * `receivesRequest`: whether the server is sent the request itself; only these requests are limited in the ramp-up
-   * after a backoff.
+   * `receivesRequest`: whether the server is sent the request itself; only these requests are
+   * limited in the ramp-up after a backoff.
    */
   #findBlock(server: BackendServer, receivesRequest: boolean): BlockReason | undefined {
     const { clock, rests, servers } = this.parts;
--- a/packages/relay/src/notices/server-notices.ts
+++ b/packages/relay/src/notices/server-notices.ts
@@ -25,14 +25,18 @@
   readonly limits: ServerLimits;
 }
 
-/** Maximum number of servers whose unreadable limit notices are remembered; each such notice is logged once. */
+/**
+ * Maximum number of servers whose unreadable limit notices are remembered; each such notice is
+ * logged once.
+ */
 const MAX_UNREADABLE = 256;
 const LOGGED_TEXT_LENGTH = 40;
 
 /**
- * Processes the notices that servers report about themselves in responses of all kinds. A leaving notice binds all
- * hosts for the rest of the server's incarnation; a backoff binds only this host until it ends; a rate limit binds
- * all hosts together for as long as responses report it. Logs each notice once, and each change of a limit.
+ * Processes the notices that servers report about themselves in responses of all kinds. A leaving
+ * notice binds all hosts for the rest of the server's incarnation; a backoff binds only this host
+ * until it ends; a rate limit binds all hosts together for as long as responses report it. Logs
+ * each notice once, and each change of a limit.
  */
 export class ServerNotices {
   #onLeaving: (server: BackendServer, announcedAtMs: Milliseconds) => void = () => undefined;
@@ -43,19 +47,24 @@
   constructor(readonly parts: ServerNoticesParts) {}
 
   /**
-   * Sets the callback for each incarnation whose leaving notice this host receives first; `announcedAtMs`: when it was
-   * received.
+   * Sets the callback for each incarnation whose leaving notice this host receives first;
+   * `announcedAtMs`: when it was received.
    */
   onLeaving(callback: (server: BackendServer, announcedAtMs: Milliseconds) => void): void {
     this.#onLeaving = callback;
   }
 
-  /** Sets the callback for each change of a limit that this host learns from a server's response. */
+  /**
+   * Sets the callback for each change of a limit that this host learns from a server's response.
+   */
   onLimit(callback: (limit: ServerLimit) => void): void {
     this.#onLimit = callback;
   }
 
-  /** Records the notice in a response of `server`, the incarnation that the request was sent to at `askedAtMs`. */
+  /**
+   * Records the notice in a response of `server`, the incarnation that the request was sent to at
+   * `askedAtMs`.
+   */
   recordNotice(
     server: BackendServer,
     { isLeaving, backoffMs, limit }: ServerNotice,
@@ -66,7 +75,10 @@
     if (limit) this.#recordLimit(server, limit, askedAtMs);
   }
 
-  /** Records a rate limit that a peer has received from a server; returns false if it changes nothing. */
+  /**
+   * Records a rate limit that a peer has received from a server; returns false if it changes
+   * nothing.
+   */
   recordPeerLimit(told: PeerLimit, reportedBy: string): boolean {
     const { clock, limits } = this.parts;
     const before = limits.find(told.server);
@@ -75,8 +87,8 @@
   }
 
   /**
-   * Records that a server told host `reportedBy` at `announcedAtMs`, on this process's clock, that it is leaving;
-   * returns false if that was known.
+   * Records that a server told host `reportedBy` at `announcedAtMs`, on this process's clock, that
+   * it is leaving; returns false if that was known.
    */
   recordLeaving(server: BackendServer, announcedAtMs: Milliseconds, reportedBy: string): boolean {
     const { log, metrics, servers } = this.parts;
@@ -159,7 +171,10 @@
     this.#logBackoffEnd(server, nowMs, forMs);
   }
 
-  /** Logs the end of a backoff; waits again if the backoff was extended by less than is logged as a new one. */
+  /**
+   * Logs the end of a backoff; waits again if the backoff was extended by less than is logged as a
+   * new one.
+   */
   #logBackoffEnd(server: BackendServer, sinceMs: Milliseconds, waitMs: Milliseconds): void {
     const { clock, log, rests } = this.parts;
     clock.after(waitMs, () => {
--- a/packages/relay/src/peers/attempt-exchange.ts
+++ b/packages/relay/src/peers/attempt-exchange.ts
@@ -27,7 +27,10 @@
   readonly engineServices: () => readonly string[];
 }
 
-/** Requests plans from other hosts, plans for them, and reports attempts and server failures to the planners. */
+/**
+ * Requests plans from other hosts, plans for them, and reports attempts and server failures to the
+ * planners.
+ */
 export class AttemptExchange {
   constructor(readonly parts: AttemptExchangeParts) {}
 
@@ -66,14 +69,19 @@
     });
   }
 
-  /** Records that an attempt starts, and notifies the planners of `service`; none if it is undefined. */
+  /**
+   * Records that an attempt starts, and notifies the planners of `service`; none if it is
+   * undefined.
+   */
   begin(use: AttemptUse, service: string | undefined): void {
     this.parts.fleet.begin(use);
     const wire = toWireAttemptUse(use, this.parts.clock.monotonicMs());
     this.#notifyPlanners(service, { kind: 'begin', ...this.parts.senderFields(), use: wire });
   }
 
-  /** Records the first event of an attempt. `service` is undefined if planners need not be notified. */
+  /**
+   * Records the first event of an attempt. `service` is undefined if planners need not be notified.
+   */
   onPrefillDone(attemptId: string, service: string | undefined): void {
     this.parts.fleet.onPrefillDone(attemptId);
     this.#notifyPlanners(service, {
@@ -110,8 +118,8 @@
   /**
    * Makes all hosts that select among the servers of its service exclude a listed server that is
    * gone. If each host finds that out by itself, 322 of 2,218 attempts go to addresses that another
-   * engine has taken over, in 33 s in which 31 of 60 engines restart behind network partitions; with
-   * this broadcast, 38 of 1,979.
+   * engine has taken over, in 33 s in which 31 of 60 engines restart behind network partitions;
+   * with this broadcast, 38 of 1,979.
    */
   broadcastServerGone(server: BackendServer): void {
     const { host, syncState, senderFields } = this.parts;
@@ -126,8 +134,8 @@
   }
 
   /**
-   * Sends `message` to the hosts that select among the servers of `service`: to its planners if it is
-   * an engine service, otherwise to every host.
+   * Sends `message` to the hosts that select among the servers of `service`: to its planners if it
+   * is an engine service, otherwise to every host.
    */
   #notifySelectingHosts(service: string, message: PeerMessage): void {
     const { engineServices, peers, send } = this.parts;
--- a/packages/relay/src/peers/batched-broadcast.ts
+++ b/packages/relay/src/peers/batched-broadcast.ts
@@ -15,7 +15,10 @@
 /** Subjects beyond this number are not queued; heartbeats carry their entries. */
 const MAX_QUEUED = 128;
 
-/** Broadcasts the entries of changed subjects, as they are at the time of sending, in a bounded number of messages. */
+/**
+ * Broadcasts the entries of changed subjects, as they are at the time of sending, in a bounded
+ * number of messages.
+ */
 export class BatchedBroadcast<Entry> {
   readonly #queued = new Set<string>();
   #sentAtMs: Milliseconds = Number.NEGATIVE_INFINITY;
--- a/packages/relay/src/peers/datagram-sender.ts
+++ b/packages/relay/src/peers/datagram-sender.ts
@@ -59,7 +59,10 @@
     });
   }
 
-  /** Sends nothing more. Messages sent before still go out, such as the `leave` message of a host that stops. */
+  /**
+   * Sends nothing more. Messages sent before still go out, such as the `leave` message of a host
+   * that stops.
+   */
   close(): void {
     this.#isClosed = true;
     this.#closeWhenSent();
--- a/packages/relay/src/peers/departed-hosts.ts
+++ b/packages/relay/src/peers/departed-hosts.ts
@@ -1,6 +1,9 @@
 import type { Clock, Milliseconds } from '@poppypond/core';
 
-/** A host that is restarted is back within seconds; one that stays away for this long is permanently gone. */
+/**
+ * A host that is restarted is back within seconds; one that stays away for this long is permanently
+ * gone.
+ */
 const GONE_AFTER_MS: Milliseconds = 60_000;
 
 /** Hosts that have left, whose entries in the store only other hosts can remove. */
@@ -19,7 +22,10 @@
     this.#leftAtMs.delete(host);
   }
 
-  /** Returns the hosts that have been away for so long that they are permanently gone, each of them once. */
+  /**
+   * Returns the hosts that have been away for so long that they are permanently gone, each of them
+   * once.
+   */
   takePermanentlyGone(): readonly string[] {
     const beforeMs = this.clock.monotonicMs() - GONE_AFTER_MS;
     const gone = [...this.#leftAtMs].filter(([, atMs]) => atMs <= beforeMs).map(([host]) => host);
--- a/packages/relay/src/peers/fragments.ts
+++ b/packages/relay/src/peers/fragments.ts
@@ -28,7 +28,10 @@
 export class FragmentAssembler {
   readonly #incomplete = new Map<string, Map<number, Uint8Array>>();
 
-  /** Adds one fragment. Returns the payload once all of its fragments are there, otherwise undefined. */
+  /**
+   * Adds one fragment. Returns the payload once all of its fragments are there, otherwise
+   * undefined.
+   */
   add({ name, index, count, bytes }: Fragment): Buffer | undefined {
     if (count > MAX_FRAGMENTS || index >= count) return undefined;
     const fragments = this.#incomplete.get(name) ?? new Map<number, Uint8Array>();
--- a/packages/relay/src/peers/leaving-exchange.test.ts
+++ b/packages/relay/src/peers/leaving-exchange.test.ts
@@ -44,7 +44,8 @@
     for (const { notices } of hosts.hosts.values()) notices.recordNotice(ENGINE, LEAVING_NOTICE);
     await hosts.run(100);
     const once = messages;
-    // Each host sends to the two coordinators, which send to all of their zone and to one host of each other zone.
+    // Each host sends to the two coordinators, which send to all of their zone and to one host of
+    // each other zone.
     expect(once).toBeLessThan(3 * 60);
     for (const { notices } of hosts.hosts.values()) notices.recordNotice(ENGINE, LEAVING_NOTICE);
     await hosts.run(100);
--- a/packages/relay/src/peers/leaving-exchange.ts
+++ b/packages/relay/src/peers/leaving-exchange.ts
@@ -18,8 +18,9 @@
 }
 
 /**
- * Broadcasts which servers have announced that they leave, once per incarnation: planners no longer select them, and
- * other hosts need not find out from the answer to a request. A host that misses the message finds out in that way.
+ * Broadcasts which servers have announced that they leave, once per incarnation: planners no longer
+ * select them, and other hosts need not find out from the answer to a request. A host that misses
+ * the message finds out in that way.
  */
 export class LeavingExchange {
   readonly #broadcast: ZoneBroadcast<LeavingAnnouncement>;
--- a/packages/relay/src/peers/limit-exchange.ts
+++ b/packages/relay/src/peers/limit-exchange.ts
@@ -24,9 +24,9 @@
 const RECENT_CHANGE_MS: Milliseconds = 2000;
 
 /**
- * Broadcasts the rate limits that servers report, once per change: a limit applies to all hosts together, and planners
- * select servers for the hosts that received the report. Heartbeats to and from the coordinators make up for lost
- * messages, and inform hosts that have just started.
+ * Broadcasts the rate limits that servers report, once per change: a limit applies to all hosts
+ * together, and planners select servers for the hosts that received the report. Heartbeats to and
+ * from the coordinators make up for lost messages, and inform hosts that have just started.
  */
 export class LimitExchange {
   readonly #broadcast: ZoneBroadcast<readonly ServerLimit[]>;
@@ -59,7 +59,10 @@
     return this.#toWire([...new Set([...this.#recentlyChanged(all), ...rotated])]);
   }
 
-  /** Recently changed limits of a service's servers, for a request to a planner that may not know them. */
+  /**
+   * Recently changed limits of a service's servers, for a request to a planner that may not know
+   * them.
+   */
   forPlanRequest(service: string): WireLimit[] {
     const ofService = this.#all().filter(({ server }) => server.service === service);
     return this.#toWire(this.#recentlyChanged(ofService));
@@ -70,7 +73,10 @@
     this.#broadcastAsCoordinator(this.recordFromPeer(limits, host));
   }
 
-  /** Applies a message with limits. Forwards new ones if it asks for that; otherwise a coordinator broadcasts them. */
+  /**
+   * Applies a message with limits. Forwards new ones if it asks for that; otherwise a coordinator
+   * broadcasts them.
+   */
   onMessage({ limits, host, passOn }: LimitsMessage): void {
     const news = this.recordFromPeer(limits, host);
     if (passOn && news.length > 0) this.#forward(news);
--- a/packages/relay/src/peers/limit-wire-format.ts
+++ b/packages/relay/src/peers/limit-wire-format.ts
@@ -9,7 +9,10 @@
   return [toWireServer(server), perSecond, isLifted, Math.max(0, Math.round(nowMs - reportedAtMs))];
 }
 
-/** Converts a limit from its wire form. The transit time of the message makes its instant slightly late. */
+/**
+ * Converts a limit from its wire form. The transit time of the message makes its instant slightly
+ * late.
+ */
 export function fromWireLimit(
   [server, perSecond, isLifted, agoMs]: WireLimit,
   nowMs: Milliseconds,
--- a/packages/relay/src/peers/member-directory.ts
+++ b/packages/relay/src/peers/member-directory.ts
@@ -8,7 +8,9 @@
 
 const MAX_PORT = 65_535;
 
-/** The row that a host writes for itself. A row of any other form was written by another program. */
+/**
+ * The row that a host writes for itself. A row of any other form was written by another program.
+ */
 const memberSchema = z.object({
   address: z.ipv4(),
   port: z.int().min(1).max(MAX_PORT),
@@ -34,9 +36,9 @@
 
   /**
    * Reads the listed hosts, and writes the entry of this one if it is missing or outdated: a host
-   * that restarts makes one call. If two hosts write their entries at once, the one that reads later
-   * sees both, so at least one of them contacts the other. `isFirstStart`: no host can be listed yet.
-   * Returns undefined if the store failed.
+   * that restarts makes one call. If two hosts write their entries at once, the one that reads
+   * later sees both, so at least one of them contacts the other. `isFirstStart`: no host can be
+   * listed yet. Returns undefined if the store failed.
    */
   async join(
     self: PeerAddress,
--- a/packages/relay/src/peers/mocks/mesh-network.ts
+++ b/packages/relay/src/peers/mocks/mesh-network.ts
@@ -92,7 +92,8 @@
 
   /**
    * Starts a host that has read from the store that the hosts at the ports `known` are members. It
-   * has not read the server list if `hasServerList` is false, nor the members if `isListed` is false.
+   * has not read the server list if `hasServerList` is false, nor the members if `isListed` is
+   * false.
    */
   start(port: number, known: readonly number[], hasServerList = true, isListed = true): Host {
     const startedAtMs = this.clock.monotonicMs();
--- a/packages/relay/src/peers/peer-list.ts
+++ b/packages/relay/src/peers/peer-list.ts
@@ -22,7 +22,10 @@
   readonly heardAtMs: Milliseconds | undefined;
   /** The `sentAtMs` of its last heartbeat, on its own clock. */
   readonly lastSentAtMs: Milliseconds | undefined;
-  /** Since when requests for a heartbeat are unanswered, on this process's clock; undefined if none are. */
+  /**
+   * Since when requests for a heartbeat are unanswered, on this process's clock; undefined if none
+   * are.
+   */
   readonly unansweredSinceMs: Milliseconds | undefined;
   /** Whether it reported that it has the configuration and the servers, which planning needs. */
   readonly canPlan: boolean;
@@ -61,7 +64,10 @@
  * arrive within 50 ms.
  */
 const ISOLATED_AFTER_MS: Milliseconds = 500;
-/** A peer that does not answer requests for a heartbeat still counts in shared budgets for this long. */
+/**
+ * A peer that does not answer requests for a heartbeat still counts in shared budgets for this
+ * long.
+ */
 const FORGET_AFTER_MS: Milliseconds = 60_000;
 
 const NEVER_HEARD = {
@@ -79,7 +85,9 @@
   return { lastSentAtMs: sentAtMs, isStoreLost, capacity, availabilityZone, canPlan };
 }
 
-/** The other hosts that are listed in the store or were heard from, with their liveness and rank. */
+/**
+ * The other hosts that are listed in the store or were heard from, with their liveness and rank.
+ */
 export class PeerList {
   readonly #peers = new Map<string, Peer>();
   /** When this process started, or resumed after it was suspended. */
@@ -90,7 +98,10 @@
   #maxSilentQueries = 0;
   /** Number of hosts that each peer reported to know, by host. */
   readonly #reportedMemberCounts = new Map<string, number>();
-  /** All hosts in rank order; undefined after a change of the known hosts, their capacity or their zone. */
+  /**
+   * All hosts in rank order; undefined after a change of the known hosts, their capacity or their
+   * zone.
+   */
   #ranked: readonly PeerAddress[] | undefined;
 
   constructor(
@@ -126,7 +137,10 @@
     return this.alive().length;
   }
 
-  /** All peers, in the order in which they became known. Peers may be added and removed during iteration. */
+  /**
+   * All peers, in the order in which they became known. Peers may be added and removed during
+   * iteration.
+   */
   all(): Iterable<Peer> {
     return this.#peers.values();
   }
@@ -144,7 +158,9 @@
     return true;
   }
 
-  /** Records a message received from `address`. Returns true if it is the first of its incarnation. */
+  /**
+   * Records a message received from `address`. Returns true if it is the first of its incarnation.
+   */
   recordMessage(message: PeerMessage, address: string): boolean {
     const { host, incarnation, port } = message;
     const nowMs = this.clock.monotonicMs();
@@ -213,8 +229,8 @@
 
   /**
    * Whether `host`, which must be able to reach the store, is one of the few that read it on behalf
-   * of all. If many live hosts ranked before it can't reach the store, the store itself is down, and
-   * those hosts retry it for all.
+   * of all. If many live hosts ranked before it can't reach the store, the store itself is down,
+   * and those hosts retry it for all.
    */
   isStoreReader(host: string): boolean {
     const before = this.#aliveRankedBefore(host);
@@ -243,7 +259,10 @@
     return this.#aliveRankedBefore(this.self.host).length;
   }
 
-  /** Whether this host is a coordinator: one of the highest-ranked live hosts, whether or not it can reach the store. */
+  /**
+   * Whether this host is a coordinator: one of the highest-ranked live hosts, whether or not it can
+   * reach the store.
+   */
   isCoordinator(): boolean {
     return this.place < COORDINATORS;
   }
@@ -260,8 +279,8 @@
   }
 
   /**
-   * For each availability zone except this host's own, the host that forwards messages within it: the
-   * highest-ranked live one, or the highest-ranked one if none is alive.
+   * For each availability zone except this host's own, the host that forwards messages within it:
+   * the highest-ranked live one, or the highest-ranked one if none is alive.
    */
   otherZoneForwarders(): readonly Peer[] {
     const forwarders = new Map<string, Peer>();
@@ -275,7 +294,10 @@
     return [...forwarders.values()];
   }
 
-  /** Whether this host is the highest-ranked known host of its availability zone, counting those not alive. */
+  /**
+   * Whether this host is the highest-ranked known host of its availability zone, counting those not
+   * alive.
+   */
   isOwnZoneForwarder(): boolean {
     const { availabilityZone, host } = this.self;
     const forwarder = this.#byRank().find((peer) => peer.availabilityZone === availabilityZone);
@@ -305,8 +327,9 @@
   }
 
   /**
-   * Hosts that track the attempts on a service's engines, the one that plans first; may include this
-   * host. `place`: index of the service among all planned services, so that each has its own planners.
+   * Hosts that track the attempts on a service's engines, the one that plans first; may include
+   * this host. `place`: index of the service among all planned services, so that each has its own
+   * planners.
    */
   plannersOf(place: number): readonly string[] {
     const ready: string[] = [];
@@ -376,7 +399,9 @@
     return ![...this.#peers.values()].some(({ heardAtMs }) => (heardAtMs ?? -Infinity) > sinceMs);
   }
 
-  /** Whether a host has what planning needs, and has had the time to learn the attempts of others. */
+  /**
+   * Whether a host has what planning needs, and has had the time to learn the attempts of others.
+   */
   #isReadyToPlan({ host }: PeerAddress): boolean {
     const peer = this.#peers.get(host);
     const isSelf = host === this.self.host;
@@ -394,7 +419,10 @@
     return this.#ranked;
   }
 
-  /** All hosts in rank order, rotated so that the planners of the service at index `place` come first. */
+  /**
+   * All hosts in rank order, rotated so that the planners of the service at index `place` come
+   * first.
+   */
   #rotatedTo(place: number): readonly PeerAddress[] {
     const ranked = this.#byRank();
     const from = (place * PLANNERS_PER_SERVICE) % ranked.length;
--- a/packages/relay/src/peers/peer-mesh-at-size.test.ts
+++ b/packages/relay/src/peers/peer-mesh-at-size.test.ts
@@ -6,8 +6,8 @@
 const PORTS = [1, 2, 3, 4, 5];
 
 describe('PeerMesh of many hosts', () => {
-  // If each host sends a heartbeat to all others at its start, 12,744 messages are sent in the first second, instead of
-  // 1,952.
+  // If each host sends a heartbeat to all others at its start, 12,744 messages are sent in the
+  // first second, instead of 1,952.
   it('does not send heartbeats from all to all at a common start, and all agree on the planner', async () => {
     const network = new MeshNetwork();
     const ports = Array.from({ length: 60 }, (_unused, index) => index + 101);
@@ -29,7 +29,8 @@
     expect(Math.min(...counts)).toBe(60);
   });
 
-  // If the store reader sent the whole list to all, one host would send as many copies of 11 KB as there are hosts.
+  // If the store reader sent the whole list to all, one host would send as many copies of 11 KB as
+  // there are hosts.
   it('sends a server list delta to each host once, with no host sending more than its zone needs', async () => {
     const network = new MeshNetwork();
     network.zones = 5;
--- a/packages/relay/src/peers/peer-mesh.ts
+++ b/packages/relay/src/peers/peer-mesh.ts
@@ -54,9 +54,10 @@
 }
 
 /**
- * Shares of a server's rate limit that are granted besides the share of the first planner: by a standby planner if the
- * first planner is silent, and by all hosts together that reach no planner. The first planner may still be granting its
- * whole share, so the total can reach 1.5 times the limit.
+ * Shares of a server's rate limit that are granted besides the share of the first planner: by a
+ * standby planner if the first planner is silent, and by all hosts together that reach no planner.
+ * The first planner may still be granting its whole share, so the total can reach 1.5 times the
+ * limit.
  */
 const STANDBY_SHARE = 0.3;
 const FALLBACK_SHARE = 0.2;
@@ -75,7 +76,10 @@
   readonly #attempts: AttemptExchange;
   readonly #heartbeats: HeartbeatExchange;
   readonly #dispatcher: MessageDispatcher;
-  /** Hosts heard from for the first time or at a new address; announced to others with the next heartbeats. */
+  /**
+   * Hosts heard from for the first time or at a new address; announced to others with the next
+   * heartbeats.
+   */
   readonly #newcomers = new Set<string>();
   readonly #departed: DepartedHosts;
   #cancel: CancelTimer = () => undefined;
@@ -183,7 +187,10 @@
     this.#heartbeats.requestFromPeers();
   }
 
-  /** Notifies all live peers that this host leaves. Sends no heartbeats and handles no messages afterwards. */
+  /**
+   * Notifies all live peers that this host leaves. Sends no heartbeats and handles no messages
+   * afterwards.
+   */
   stop(): void {
     if (this.#isStopped) return;
     this.#cancel();
@@ -191,15 +198,18 @@
     this.#sendAll(this.#peers.alive(), { kind: 'leave', ...this.#senderFields() });
   }
 
-  /** Number of hosts that share budgets, this one included; infinite until the member list is known. */
+  /**
+   * Number of hosts that share budgets, this one included; infinite until the member list is known.
+   */
   get hostCount(): number {
     return this.#areMembersKnown ? this.#peers.memberCount : Number.POSITIVE_INFINITY;
   }
 
   /**
-   * The share of the rate limits of a service's servers that this host may grant. The first planner in rank grants
-   * the fraction of the listed hosts that it hears from, so that the sides of a network partition, which each have a
-   * first planner, keep to the limit together. `isFallback`: this host reaches no planner and plans by itself.
+   * The share of the rate limits of a service's servers that this host may grant. The first planner
+   * in rank grants the fraction of the listed hosts that it hears from, so that the sides of a
+   * network partition, which each have a first planner, keep to the limit together. `isFallback`:
+   * this host reaches no planner and plans by itself.
    */
   limitPart(service: string, isFallback: boolean): LimitPart {
     const hosts = this.hostCount;
@@ -220,7 +230,9 @@
     return this.#attempts.plannersOf(service);
   }
 
-  /** Sends a plan request to `planner`. Its answers are passed to `onPlan`, unless they are lost. */
+  /**
+   * Sends a plan request to `planner`. Its answers are passed to `onPlan`, unless they are lost.
+   */
   askPlan(planner: string, request: PlanRequest): void {
     this.#attempts.askPlan(planner, request);
   }
@@ -230,12 +242,17 @@
     this.#attempts.withdrawPlan(planner, attemptId);
   }
 
-  /** Records that an attempt starts, and notifies the planners of `service`; none if it is undefined. */
+  /**
+   * Records that an attempt starts, and notifies the planners of `service`; none if it is
+   * undefined.
+   */
   begin(use: AttemptUse, service: string | undefined): void {
     this.#attempts.begin(use, service);
   }
 
-  /** Records the first event of an attempt. `service` is undefined if planners need not be notified. */
+  /**
+   * Records the first event of an attempt. `service` is undefined if planners need not be notified.
+   */
   onPrefillDone(attemptId: string, service: string | undefined): void {
     this.#attempts.onPrefillDone(attemptId, service);
   }
@@ -303,15 +320,17 @@
   }
 
   /**
-   * Coordinators report hosts that are gone. One that hears from fewer than half of its peers reports
-   * none, as it may itself be cut off by a network partition.
+   * Coordinators report hosts that are gone. One that hears from fewer than half of its peers
+   * reports none, as it may itself be cut off by a network partition.
    */
   #reportGone(host: string): void {
     const hearsFromMost = this.#peers.aliveCount * 2 >= this.#peers.size;
     if (this.#peers.isCoordinator() && hearsFromMost) this.parts.onGone(host);
   }
 
-  /** Coordinators, from which all others request heartbeats, announce new hosts to every known host. */
+  /**
+   * Coordinators, from which all others request heartbeats, announce new hosts to every known host.
+   */
   #announceNewcomers(): void {
     const newcomers = [...this.#newcomers].flatMap((host) => this.#peers.find(host) ?? []);
     this.#newcomers.clear();
--- a/packages/relay/src/peers/peer-messages.ts
+++ b/packages/relay/src/peers/peer-messages.ts
@@ -43,13 +43,18 @@
   z.array(terminationSchema).max(MAX_REPORTED_TERMINATIONS).describe('last terminations'),
 ]);
 
-/** Heartbeat: sent every half second and as an answer to a new peer; carries all attempts that the sender runs. */
+/**
+ * Heartbeat: sent every half second and as an answer to a new peer; carries all attempts that the
+ * sender runs.
+ */
 const heartbeatSchema = z.object({
   kind: z.literal('beat'),
   ...senderShape,
   /** Time on the sender's clock. */
   sentAtMs: z.number(),
-  /** The last heartbeat that the sender received from the receiver: its incarnation and `sentAtMs`. */
+  /**
+   * The last heartbeat that the sender received from the receiver: its incarnation and `sentAtMs`.
+   */
   echo: z.object({ incarnation: z.string(), sentAtMs: z.number() }).nullable(),
   /** Whether the sender can't reach the store. */
   isStoreLost: z.boolean(),
@@ -62,7 +67,10 @@
   listVersion: z.number(),
   listAgeMs: z.number().nullable(),
   availabilityZone: z.string(),
-  /** CPU capacity of the sender, in cores of the reference speed; hosts with more capacity plan first. */
+  /**
+   * CPU capacity of the sender, in cores of the reference speed; hosts with more capacity plan
+   * first.
+   */
   capacity: z.number(),
   /** Number of hosts that the sender knows, itself included. */
   memberCount: z.number(),
@@ -70,7 +78,10 @@
   canPlan: z.boolean(),
   /** All attempts that the sender runs; null if the receiver need not know them. */
   uses: z.array(attemptUseSchema).nullable(),
-  /** Some of the requests that the sender knows to have terminated servers. Earlier releases omit this field. */
+  /**
+   * Some of the requests that the sender knows to have terminated servers. Earlier releases omit
+   * this field.
+   */
   quarantine: z.array(quarantineEntrySchema).default([]),
   /** Some of the rate limits that servers report. Earlier releases omit this field. */
   limits: z.array(limitSchema).default([]),
@@ -101,7 +112,10 @@
   ...senderShape,
   attempt: z.string(),
 });
-/** Sent to planners when the first event after a long prefill has arrived, and when an attempt has ended. */
+/**
+ * Sent to planners when the first event after a long prefill has arrived, and when an attempt has
+ * ended.
+ */
 const attemptProgressSchema = z.object({
   kind: z.enum(['read', 'end']),
   ...senderShape,
@@ -114,7 +128,9 @@
   server: z.string(),
   forMs: z.number(),
 });
-/** Wire form of a list of backend servers. Invalid entries are skipped; the others remain usable. */
+/**
+ * Wire form of a list of backend servers. Invalid entries are skipped; the others remain usable.
+ */
 export const serversSchema = z.array(z.unknown()).transform((rows) =>
   rows.flatMap((row) => {
     const server = serverSchema.safeParse(row);
--- a/packages/relay/src/peers/peer-rank.ts
+++ b/packages/relay/src/peers/peer-rank.ts
@@ -5,7 +5,10 @@
   return left.host < right.host ? -1 : 1;
 }
 
-/** For each host, the number of hosts of the same availability zone and capacity that sort before it. */
+/**
+ * For each host, the number of hosts of the same availability zone and capacity that sort before
+ * it.
+ */
 function zoneRanksOf(sorted: readonly PeerAddress[]): ReadonlyMap<string, number> {
   const seen = new Map<string, number>();
   const zoneRanks = new Map<string, number>();
--- a/packages/relay/src/peers/quarantine-exchange.ts
+++ b/packages/relay/src/peers/quarantine-exchange.ts
@@ -12,12 +12,15 @@
   readonly quarantine: SharedQuarantine;
 }
 
-/** Maximum number of entries in a heartbeat, of 140 bytes each; none while no request terminates a server. */
+/**
+ * Maximum number of entries in a heartbeat, of 140 bytes each; none while no request terminates a
+ * server.
+ */
 const MAX_PER_HEARTBEAT = 8;
 
 /**
- * Broadcasts which requests terminated servers. Heartbeats to and from the coordinators make up for lost messages, and
- * inform hosts that have just started.
+ * Broadcasts which requests terminated servers. Heartbeats to and from the coordinators make up for
+ * lost messages, and inform hosts that have just started.
  */
 export class QuarantineExchange {
   readonly #broadcast: ZoneBroadcast<readonly QuarantineEntry[]>;
@@ -51,7 +54,10 @@
     if (this.parts.peers.isCoordinator()) this.#publish(news);
   }
 
-  /** Applies a message with entries. Forwards new ones if it asks for that; otherwise a coordinator broadcasts them. */
+  /**
+   * Applies a message with entries. Forwards new ones if it asks for that; otherwise a coordinator
+   * broadcasts them.
+   */
   onMessage({ entries, host, passOn }: QuarantineMessage): void {
     const news = this.#mergeFromPeer(entries, host);
     if (news.length === 0) return;
--- a/packages/relay/src/peers/quarantine-wire-format.ts
+++ b/packages/relay/src/peers/quarantine-wire-format.ts
@@ -18,7 +18,10 @@
   return [content, round, ends, remainingMs, toWholeMs(nowMs - changedAtMs), terminations];
 }
 
-/** Converts an entry from its wire form. The transit time of the message makes its instants slightly late. */
+/**
+ * Converts an entry from its wire form. The transit time of the message makes its instants slightly
+ * late.
+ */
 export function fromWireQuarantine(
   [content, round, ends, remainingMs, changedAgoMs, terminations]: WireQuarantineEntry,
   nowMs: Milliseconds,
--- a/packages/relay/src/peers/store-state-exchange.ts
+++ b/packages/relay/src/peers/store-state-exchange.ts
@@ -68,7 +68,9 @@
     this.parts.send(ownZonePeers, this.#deltaMessage(change, false));
   }
 
-  /** Compares the versions that a peer reports with this host's, and requests what is newer from it. */
+  /**
+   * Compares the versions that a peer reports with this host's, and requests what is newer from it.
+   */
   onVersions(peer: Peer, word: StoreVersions): void {
     const { clock, syncState, senderFields } = this.parts;
     const { ownVersions } = syncState;
--- a/packages/relay/src/peers/store-sync-state.ts
+++ b/packages/relay/src/peers/store-sync-state.ts
@@ -12,7 +12,10 @@
   readonly listVersion: number;
 }
 
-/** Store versions, with the times on this process's clock at which each was the newest; undefined for never. */
+/**
+ * Store versions, with the times on this process's clock at which each was the newest; undefined
+ * for never.
+ */
 export interface DatedStoreVersions extends StoreVersions {
   readonly configurationAtMs: Milliseconds | undefined;
   readonly listAtMs: Milliseconds | undefined;
@@ -34,11 +37,18 @@
  * versions confirms that they are recent; one that has newer ones is a reason to read the store.
  */
 export class StoreSyncState {
-  /** The newest configuration version that a peer has reported, and when, on this process's clock. */
+  /**
+   * The newest configuration version that a peer has reported, and when, on this process's clock.
+   */
   #newestPeerConfiguration = { version: 0, atMs: 0 };
-  /** The newest version that a peer has reported for a server list with another digest than this host's. */
+  /**
+   * The newest version that a peer has reported for a server list with another digest than this
+   * host's.
+   */
   #newestOtherListVersion = 0;
-  /** Since when a peer is known to have newer state, on this process's clock; undefined if none has. */
+  /**
+   * Since when a peer is known to have newer state, on this process's clock; undefined if none has.
+   */
   #behindSinceMs: Milliseconds | undefined;
   #storeFailedAtMs: Milliseconds | undefined;
   #onRefreshNeeded: () => void = () => undefined;
@@ -141,7 +151,9 @@
     return this.ownVersions.listVersion > before;
   }
 
-  /** Records that a listed server is gone, as `host` reports. Returns false if that changes nothing. */
+  /**
+   * Records that a listed server is gone, as `host` reports. Returns false if that changes nothing.
+   */
   onServerGone(server: BackendServer, host: string): boolean {
     return this.parts.list.onGone(server, host);
   }
@@ -170,7 +182,10 @@
     this.#notifyIfBehind();
   }
 
-  /** Compares the versions that a peer reports; equal ones confirm this host's as of the peer's times. */
+  /**
+   * Compares the versions that a peer reports; equal ones confirm this host's as of the peer's
+   * times.
+   */
   onDatedPeerVersions(word: DatedStoreVersions): void {
     const { activeConfiguration, freshness, list } = this.parts;
     this.#recordConfigurationVersion(word.configurationVersion);
@@ -187,7 +202,10 @@
     this.#notifyIfBehind();
   }
 
-  /** Records that the store, queried at `askedAtMs`, has returned the configuration that was the newest then. */
+  /**
+   * Records that the store, queried at `askedAtMs`, has returned the configuration that was the
+   * newest then.
+   */
   onConfigurationRead(askedAtMs: Milliseconds): void {
     const wasLost = this.#storeFailedAtMs !== undefined;
     this.#storeFailedAtMs = undefined;
--- a/packages/relay/src/peers/zone-broadcast.ts
+++ b/packages/relay/src/peers/zone-broadcast.ts
@@ -1,6 +1,9 @@
 import type { Peer, PeerList } from './peer-list.js';
 
-/** Sends a message to each of `peers`. `passOn`: whether they have to forward it within their availability zone. */
+/**
+ * Sends a message to each of `peers`. `passOn`: whether they have to forward it within their
+ * availability zone.
+ */
 export type BroadcastSender<Message> = (
   peers: readonly Peer[],
   news: Message,
@@ -8,9 +11,9 @@
 ) => void;
 
 /**
- * Broadcasts messages to all hosts without any host sending to all others. A host sends to the two coordinators; these
- * send to one host of each availability zone, which forwards the message within its zone. Any message may be lost; what
- * must arrive is repaired by other means.
+ * Broadcasts messages to all hosts without any host sending to all others. A host sends to the two
+ * coordinators; these send to one host of each availability zone, which forwards the message within
+ * its zone. Any message may be lost; what must arrive is repaired by other means.
  */
 export class ZoneBroadcast<Message> {
   constructor(
--- a/packages/relay/src/quarantine/request-content.ts
+++ b/packages/relay/src/quarantine/request-content.ts
@@ -1,7 +1,10 @@
 import type { RequestContent } from '@poppypond/fleet';
 import type { CallerHead } from '../ports.js';
 
-/** Returns what identifies a caller's request over all its tries: everything but the identifiers of one try. */
+/**
+ * Returns what identifies a caller's request over all its tries: everything but the identifiers of
+ * one try.
+ */
 export function contentOf(
   { method, hostName, path }: CallerHead,
   workspace: string | undefined,
--- a/packages/relay/src/quarantine/shared-quarantine.ts
+++ b/packages/relay/src/quarantine/shared-quarantine.ts
@@ -19,13 +19,20 @@
   readonly quarantine: Quarantine;
 }
 
-/** All hosts learn of a trial run within this time, from a heartbeat if the message about it is lost. */
+/**
+ * All hosts learn of a trial run within this time, from a heartbeat if the message about it is
+ * lost.
+ */
 const GRACE_PER_RANK_MS: Milliseconds = 500;
-/** Hosts beyond this rank share one grace period: they allow a trial run ten seconds after the first host would. */
+/**
+ * Hosts beyond this rank share one grace period: they allow a trial run ten seconds after the first
+ * host would.
+ */
 const MAX_RANK = 20;
 
 /**
- * Describes, for people, which servers terminated while running a request, how long ago, and which host reported it.
+ * Describes, for people, which servers terminated while running a request, how long ago, and which
+ * host reported it.
  */
 export function describeTerminations({ lastTerminations }: QuarantineEntry, nowMs: number): string {
   return lastTerminations
@@ -36,7 +43,8 @@
 }
 
 /**
- * The quarantine of requests whose attempts terminate servers, as known to this host and its peers; logs each change.
+ * The quarantine of requests whose attempts terminate servers, as known to this host and its peers;
+ * logs each change.
  */
 export class SharedQuarantine implements QuarantineRegistry {
   #onChange: (entry: QuarantineEntry) => void = () => undefined;
@@ -78,14 +86,17 @@
     return verdict;
   }
 
-  /** Returns the time until this host allows a trial run, which callers receive as their retry delay. */
+  /**
+   * Returns the time until this host allows a trial run, which callers receive as their retry
+   * delay.
+   */
   quarantinedForMs({ quarantinedUntilMs }: QuarantineEntry): Milliseconds {
     return Math.max(0, quarantinedUntilMs + this.#graceMs - this.parts.clock.monotonicMs());
   }
 
   /**
-   * Records that a server terminated during a run of this host; `history`: what was known as the run began. Returns
-   * the new entry.
+   * Records that a server terminated during a run of this host; `history`: what was known as the
+   * run began. Returns the new entry.
    */
   onTermination(content: string, history: TerminationHistory, server: string): QuarantineEntry {
     const { clock, quarantine, host } = this.parts;
--- a/packages/relay/src/quarantine/termination-detector.ts
+++ b/packages/relay/src/quarantine/termination-detector.ts
@@ -26,12 +26,15 @@
 }
 
 /**
- * Longest time that a retry waits to learn whether the server has terminated. A closed port refuses the connection
- * within a round trip, 3 ms between availability zones that are 1.4 ms apart; a host that is gone does not answer,
- * and the retry proceeds.
+ * Longest time that a retry waits to learn whether the server has terminated. A closed port refuses
+ * the connection within a round trip, 3 ms between availability zones that are 1.4 ms apart; a host
+ * that is gone does not answer, and the retry proceeds.
  */
 const PROBE_WAIT_MS: Milliseconds = 50;
-/** A process that restarts in place is listed with its new start time by its second heartbeat, within this time. */
+/**
+ * A process that restarts in place is listed with its new start time by its second heartbeat,
+ * within this time.
+ */
 const RESTART_WATCH_MS: Milliseconds = 6000;
 
 /** Detects which servers terminated while they ran attempts of one request. */
@@ -42,15 +45,16 @@
   ) {}
 
   /**
-   * Records that a server that an attempt depends on has restarted, so the incarnation that ran it has terminated.
+   * Records that a server that an attempt depends on has restarted, so the incarnation that ran it
+   * has terminated.
    */
   onRestarted(attempt: string, server: BackendServer): void {
     this.#recordFinding(attempt, server, 'started_again', 'a newer incarnation is listed');
   }
 
   /**
-   * Checks whether a server that an attempt depended on has terminated. Resolves within `PROBE_WAIT_MS`; a later
-   * result is still recorded.
+   * Checks whether a server that an attempt depended on has terminated. Resolves within
+   * `PROBE_WAIT_MS`; a later result is still recorded.
    */
   async probe(attempt: string, server: BackendServer, why: string): Promise<void> {
     const { clock } = this.parts;
--- a/packages/relay/src/request/admit.ts
+++ b/packages/relay/src/request/admit.ts
@@ -22,7 +22,9 @@
 /** Retry delay for callers of a host that is catching up with the store. */
 const SYNC_RETRY_DELAY_MS = 500;
 
-/** Finds the route, checks the key and picks the service; returns a fault if the request is refused. */
+/**
+ * Finds the route, checks the key and picks the service; returns a fault if the request is refused.
+ */
 export function admit(parts: RelayParts, caller: CallerHead): Result<AdmittedRequest, Fault> {
   const table = parts.activeConfiguration.table;
   if (!table) {
--- a/packages/relay/src/request/attempt-history.ts
+++ b/packages/relay/src/request/attempt-history.ts
@@ -61,7 +61,9 @@
     this.#mayHaveRun = true;
   }
 
-  /** Counts a failed attempt; returns true if another follows, which is taken from the retry budget. */
+  /**
+   * Counts a failed attempt; returns true if another follows, which is taken from the retry budget.
+   */
   onFailed(serverId: string, failure: AttemptFailure): boolean {
     if (isUndelivered(failure)) this.#undelivered += 1;
     else this.#sent += 1;
@@ -70,7 +72,10 @@
     return this.#tryRetry(failure, this.#sent);
   }
 
-  /** Decides whether a running attempt is abandoned for another, which is taken from the retry budget. */
+  /**
+   * Decides whether a running attempt is abandoned for another, which is taken from the retry
+   * budget.
+   */
   tryAbandon(serverId: string): boolean {
     if (!this.mayRepeat || !this.#tryRetry('unknown', this.#sent + 1)) return false;
     this.#failedIds.add(serverId);
--- a/packages/relay/src/request/attempt-outcome-handler.ts
+++ b/packages/relay/src/request/attempt-outcome-handler.ts
@@ -13,10 +13,15 @@
 import type { FinalResponse } from './final-response.js';
 
 const MIN_SERVER_ERROR_STATUS = 500;
-/** A 500 of an engine means that the engine failed; a plain service may return it for an application error. */
+/**
+ * A 500 of an engine means that the engine failed; a plain service may return it for an application
+ * error.
+ */
 const INTERNAL_SERVER_ERROR = 500;
 const MISDIRECTED = 421;
-/** Statuses that by convention mean that nothing was run; only the server's own header confirms it. */
+/**
+ * Statuses that by convention mean that nothing was run; only the server's own header confirms it.
+ */
 const UNPROCESSED_STATUSES: ReadonlySet<number> = new Set([408, MISDIRECTED, 429, 503]);
 
 /** Why this host abandoned an attempt. */
@@ -56,8 +61,8 @@
       return true;
     }
     this.suspect(choice.server, end.detail);
-    // The check precedes the retry: a termination of the next server counts as a further one only if this one is
-    // known when the retry begins.
+    // The check precedes the retry: a termination of the next server counts as a further one only
+    // if this one is known when the retry begins.
     if (end.kind === 'broken') {
       await this.parts.ends.probe(choice.attemptId, choice.server, end.detail);
     }
@@ -81,7 +86,8 @@
     const { answer, ends, timeoutMs, finalResponse, history } = this.parts;
     history.onCancelled();
     if (abandonment.isRetried) return false;
-    // Nothing else detects a server that died without closing its connection if the request may not be retried.
+    // Nothing else detects a server that died without closing its connection if the request may not
+    // be retried.
     if (abandonment.silentMs > firstEventTimeoutMs(plan?.stream, timeoutMs)) {
       void ends.probe(attemptId, server, 'sent nothing until the attempt ended');
     }
@@ -110,8 +116,8 @@
   }
 
   /**
-   * Another server has the address, so the intended one is gone. All hosts that choose among the servers of its
-   * service are notified, as its entry may stay listed for seconds.
+   * Another server has the address, so the intended one is gone. All hosts that choose among the
+   * servers of its service are notified, as its entry may stay listed for seconds.
    */
   #handleMisdirected(choice: Choice, detail: string): boolean {
     this.parts.relay.peers.broadcastServerGone(choice.server);
@@ -124,8 +130,8 @@
   }
 
   /**
-   * Suspects the prefill engine whose fault made the chosen engine fail; returns false if `faultyEngine` names no
-   * prefill engine of the attempt.
+   * Suspects the prefill engine whose fault made the chosen engine fail; returns false if
+   * `faultyEngine` names no prefill engine of the attempt.
    */
   #suspectPrefillEngine(faultyEngine: string | undefined, choice: Choice): boolean {
     const prefillEngine = findPrefillEngine(choice, faultyEngine);
--- a/packages/relay/src/request/attempt-use.ts
+++ b/packages/relay/src/request/attempt-use.ts
@@ -26,8 +26,8 @@
 }
 
 /**
- * Returns the resources that an attempt uses, placed by `host` at `placedAtMs` and freed at `deadlineAtMs` at the
- * latest.
+ * Returns the resources that an attempt uses, placed by `host` at `placedAtMs` and freed at
+ * `deadlineAtMs` at the latest.
  */
 export function useOf(
   choice: Choice,
--- a/packages/relay/src/request/attempt-watch.ts
+++ b/packages/relay/src/request/attempt-watch.ts
@@ -13,7 +13,10 @@
   readonly memory: EngineMemory;
   readonly servers: ServerList;
   readonly route: Route;
-  /** Whether another server may be tried; if not, silence and dead prefill engines are not monitored. */
+  /**
+   * Whether another server may be tried; if not, silence and dead prefill engines are not
+   * monitored.
+   */
   readonly mayRepeat: boolean;
   /** Called when a server that the attempt depends on is silent or dead, with the reason. */
   readonly onUnresponsive: (server: BackendServer, why: string) => void;
--- a/packages/relay/src/request/choice.ts
+++ b/packages/relay/src/request/choice.ts
@@ -43,17 +43,23 @@
   readonly failedIds: ReadonlySet<string>;
   /** Ids of servers that were chosen and then blocked by the send gate. */
   readonly blockedIds: ReadonlySet<string>;
-  /** Returns the content id, which is the same for all tries of the request; computes a hash of the body. */
+  /**
+   * Returns the content id, which is the same for all tries of the request; computes a hash of the
+   * body.
+   */
   readonly content: () => string;
-  /** Called when the decode engine no longer answers status queries while memory is reserved on other engines. */
+  /**
+   * Called when the decode engine no longer answers status queries while memory is reserved on
+   * other engines.
+   */
   readonly onDecodeEngineLost: (engine: BackendServer) => void;
   /** Whether the caller has disconnected or the deadline has passed. */
   readonly isFinished: () => boolean;
 }
 
 /**
- * `refused`: no server can take the request; `why` tells the reason and `retryAfterMs`, if known, when one may.
- * `over`: the caller has disconnected or the deadline has passed.
+ * `refused`: no server can take the request; `why` tells the reason and `retryAfterMs`, if known,
+ * when one may. `over`: the caller has disconnected or the deadline has passed.
  */
 export type ChoiceOutcome =
   | { readonly kind: 'choice'; readonly choice: Choice }
@@ -65,9 +71,9 @@
   ChoiceOutcome | { readonly kind: 'resting'; readonly nextUsableInMs: Milliseconds };
 
 /**
- * Returns the ids of servers that are chosen last for a request: those that failed it or were blocked. Once it has
- * failed, also those in a ramp-up after a backoff and those that recently rejected requests; if no other usable server
- * remains, only those that failed it.
+ * Returns the ids of servers that are chosen last for a request: those that failed it or were
+ * blocked. Once it has failed, also those in a ramp-up after a backoff and those that recently
+ * rejected requests; if no other usable server remains, only those that failed it.
  */
 export function deprioritizedIds(inputs: ChoiceInputs): ReadonlySet<string> {
   const { parts, admitted, failedIds, blockedIds } = inputs;
@@ -90,8 +96,8 @@
 }
 
 /**
- * Returns the prefill engine that `named` identifies by id or `ADDRESS:PORT`; undefined if it is none, or the decode
- * engine.
+ * Returns the prefill engine that `named` identifies by id or `ADDRESS:PORT`; undefined if it is
+ * none, or the decode engine.
  */
 export function findPrefillEngine(
   { server, readers }: Choice,
--- a/packages/relay/src/request/choose-engines.ts
+++ b/packages/relay/src/request/choose-engines.ts
@@ -15,8 +15,8 @@
 } from './choice.js';
 
 /**
- * Share of a latency target for which a request waits while no server may be sent it; the rest is left for its
- * response.
+ * Share of a latency target for which a request waits while no server may be sent it; the rest is
+ * left for its response.
  */
 export const MAX_WAIT_TARGET_SHARE = 0.5;
 /** Delay before another plan is requested if a plan could not be used. */
@@ -67,7 +67,10 @@
   return { servers, unusableIds };
 }
 
-/** Reserves memory on the engines that share the prompt; returns undefined if one of them does not reserve it. */
+/**
+ * Reserves memory on the engines that share the prompt; returns undefined if one of them does not
+ * reserve it.
+ */
 function reserveShares(
   { parts, caller, onDecodeEngineLost }: ChoiceInputs,
   decodeEngine: BackendServer,
@@ -85,7 +88,9 @@
   });
 }
 
-/** Turns a plan into a choice; returns undefined if the memory that it needs could not be reserved. */
+/**
+ * Turns a plan into a choice; returns undefined if the memory that it needs could not be reserved.
+ */
 async function choiceFromPlan(
   inputs: ChoiceInputs,
   plan: StreamPlan,
@@ -102,8 +107,8 @@
 }
 
 /**
- * Retry delay, in latency targets, of a long prompt that yields to others: it may find room when their prefills,
- * which take up to one target, have ended.
+ * Retry delay, in latency targets, of a long prompt that yields to others: it may find room when
+ * their prefills, which take up to one target, have ended.
  */
 const YIELDED_RETRY_TARGET_SHARE = 0.5;
 
--- a/packages/relay/src/request/choose-server.ts
+++ b/packages/relay/src/request/choose-server.ts
@@ -21,7 +21,10 @@
 /** Requests a permit for any server of the service. */
 const ANY_SERVER: PermitRequest = { serverIds: [], isSent: false };
 
-/** Picks one of the `usable` servers of a plain service, with the servers of `deprioritizedIds` last. */
+/**
+ * Picks one of the `usable` servers of a plain service, with the servers of `deprioritizedIds`
+ * last.
+ */
 function pickServer(
   inputs: ChoiceInputs,
   usable: readonly BackendServer[],
@@ -61,8 +64,8 @@
 }
 
 /**
- * Chooses a server of a plain service whose servers are all rate-limited: the host that grants permits returns one
- * of them, or the time after which to retry.
+ * Chooses a server of a plain service whose servers are all rate-limited: the host that grants
+ * permits returns one of them, or the time after which to retry.
  */
 async function chooseLimitedServer(inputs: ChoiceInputs): Promise<ImmediateOutcome> {
   const { admitted, isFinished, parts } = inputs;
@@ -80,7 +83,8 @@
 }
 
 /**
- * Outcome for a service without a usable server; `nextUsableInMs`: until one is usable, undefined if none is listed.
+ * Outcome for a service without a usable server; `nextUsableInMs`: until one is usable, undefined
+ * if none is listed.
  */
 function noUsableServer(nextUsableInMs: Milliseconds | undefined): ImmediateOutcome {
   if (nextUsableInMs === undefined)
@@ -89,7 +93,8 @@
 }
 
 /**
- * Waits for the first server list. A host that has just started may receive the configuration 20 ms before the list.
+ * Waits for the first server list. A host that has just started may receive the configuration 20 ms
+ * before the list.
  */
 async function waitForFirstList({ parts, isFinished }: ChoiceInputs): Promise<void> {
   const untilMs = parts.clock.monotonicMs() + FIRST_LIST_TIMEOUT_MS;
@@ -107,8 +112,8 @@
 }
 
 /**
- * Chooses a server, after a wait if all are in a backoff. Refuses instead if the wait would use up too much of the
- * latency target.
+ * Chooses a server, after a wait if all are in a backoff. Refuses instead if the wait would use up
+ * too much of the latency target.
  */
 export async function chooseServer(inputs: ChoiceInputs): Promise<ChoiceOutcome> {
   const { parts, admitted, arrivedAtMs, isFinished } = inputs;
--- a/packages/relay/src/request/final-response.ts
+++ b/packages/relay/src/request/final-response.ts
@@ -38,7 +38,10 @@
     this.#end('ok', this.parts.events.end(head));
   }
 
-  /** Sends a server's complete response of any status; aborts instead if an event stream has already begun. */
+  /**
+   * Sends a server's complete response of any status; aborts instead if an event stream has already
+   * begun.
+   */
   finishResponse(head: ResponseHead, body: Buffer, code: ResultName): void {
     const { answer } = this.parts;
     if (answer.hasStarted) answer.abort();
--- a/packages/relay/src/request/prefill-watch.ts
+++ b/packages/relay/src/request/prefill-watch.ts
@@ -2,13 +2,16 @@
 import type { BackendServer } from '@poppypond/fleet';
 
 /**
- * Period of the status queries to the engines that prefill a long prompt. An engine that depends on a dead one stalls
- * for 1.5 s before it reports that, which is more than a third of the latency target of the longest prompts. A period
- * of 400 ms sends 1,550 queries more in a day of long prompts, each on a connection of its own, which costs 0.003 of
- * the value of a day.
+ * Period of the status queries to the engines that prefill a long prompt. An engine that depends on
+ * a dead one stalls for 1.5 s before it reports that, which is more than a third of the latency
+ * target of the longest prompts. A period of 400 ms sends 1,550 queries more in a day of long
+ * prompts, each on a connection of its own, which costs 0.003 of the value of a day.
  */
 const QUERY_PERIOD_MS: Milliseconds = 800;
-/** An engine counts as dead after this number of unanswered queries in a row, sent one right after the other. */
+/**
+ * An engine counts as dead after this number of unanswered queries in a row, sent one right after
+ * the other.
+ */
 const MAX_UNANSWERED_QUERIES = 2;
 
 /** Dependencies of `PrefillWatch`. */
@@ -16,21 +19,28 @@
   readonly clock: Clock;
   /** Whether a server answers a status query. */
   readonly isResponsive: (server: BackendServer) => Promise<boolean>;
-  /** Called at most once for each attempt, when an engine that prefills a part of the prompt is dead. */
+  /**
+   * Called at most once for each attempt, when an engine that prefills a part of the prompt is
+   * dead.
+   */
   readonly onUnresponsive: (server: BackendServer) => void;
 }
 
-/** Sends status queries to the engines that prefill one long prompt together, until its first event. */
+/**
+ * Sends status queries to the engines that prefill one long prompt together, until its first event.
+ */
 export class PrefillWatch {
-  /** Replaced for each monitored attempt, so that late answers for an earlier attempt are ignored. */
+  /**
+   * Replaced for each monitored attempt, so that late answers for an earlier attempt are ignored.
+   */
   #monitored: readonly BackendServer[] = [];
   #cancel: CancelTimer = () => undefined;
 
   constructor(readonly parts: PrefillWatchParts) {}
 
   /**
-   * Starts monitoring an attempt that begins now, in place of any other. A prefill shorter than the period is never
-   * queried.
+   * Starts monitoring an attempt that begins now, in place of any other. A prefill shorter than the
+   * period is never queried.
    */
   begin(engines: readonly BackendServer[]): void {
     this.end();
--- a/packages/relay/src/request/request-execution.ts
+++ b/packages/relay/src/request/request-execution.ts
@@ -45,7 +45,10 @@
   readonly #history: AttemptHistory;
   readonly #events: ResponseEvents;
   readonly #watch: AttemptWatch;
-  /** Quarantine state of the request; `#terminations` detects servers that terminate while running it. */
+  /**
+   * Quarantine state of the request; `#terminations` detects servers that terminate while running
+   * it.
+   */
   readonly #followed: FollowedRequest;
   readonly #terminations: TerminationDetector;
   readonly #finalResponse: FinalResponse;
@@ -58,7 +61,9 @@
   readonly #blockedIds = new Set<string>();
   /** Whether the current attempt was abandoned and another follows. */
   #isRetried = false;
-  /** Why the request fails with the current attempt, which was abandoned; undefined if it does not. */
+  /**
+   * Why the request fails with the current attempt, which was abandoned; undefined if it does not.
+   */
   #failureReason: string | undefined;
   #hasTimedOut = false;
 
@@ -177,7 +182,10 @@
     }
   }
 
-  /** Whether the send gate blocks the choice because of a notice received meanwhile; the choice is then released. */
+  /**
+   * Whether the send gate blocks the choice because of a notice received meanwhile; the choice is
+   * then released.
+   */
   #isBlocked(choice: Choice): boolean {
     const block = this.parts.gate.admitAttempt(choice);
     if (!block) return false;
@@ -187,7 +195,10 @@
     return true;
   }
 
-  /** Retry delay if no server of the service may be sent anything now; undefined if one may, or none is listed. */
+  /**
+   * Retry delay if no server of the service may be sent anything now; undefined if one may, or none
+   * is listed.
+   */
   #retryDelayMs(): Milliseconds | undefined {
     const { gate } = this.parts;
     const nextUsableInMs = gate.nextUsableInMs(this.admitted.service);
@@ -201,8 +212,8 @@
   }
 
   /**
-   * Refuses a quarantined request, whoever sent it and however often: it would terminate the next server too, and
-   * with it all requests that run there. Returns true if the request was refused.
+   * Refuses a quarantined request, whoever sent it and however often: it would terminate the next
+   * server too, and with it all requests that run there. Returns true if the request was refused.
    */
   #refuseQuarantined(): boolean {
     const held = this.#followed.checkHold();
@@ -300,7 +311,10 @@
     return this.admitted.figures && this.admitted.service;
   }
 
-  /** Abandons the current attempt for a fault of `server` and tries another server, if a retry is allowed. */
+  /**
+   * Abandons the current attempt for a fault of `server` and tries another server, if a retry is
+   * allowed.
+   */
   #abandonFor(server: BackendServer, why: string): void {
     const running = this.#current;
     if (!running || !this.#history.tryAbandon(server.id)) return;
@@ -311,8 +325,9 @@
   }
 
   /**
-   * Handles the restart of a server that the current attempt depends on: its work is lost, even if its connection
-   * shows no error. A request that may be repeated is retried at once; any other fails with an unknown outcome.
+   * Handles the restart of a server that the current attempt depends on: its work is lost, even if
+   * its connection shows no error. A request that may be repeated is retried at once; any other
+   * fails with an unknown outcome.
    */
   #onServerRestarted(server: BackendServer): void {
     const running = this.#current;
--- a/packages/relay/src/request/response-events.ts
+++ b/packages/relay/src/request/response-events.ts
@@ -2,10 +2,15 @@
 import type { ResponseHead } from '../ports.js';
 import type { CallerResponse } from './caller-response.js';
 
-/** The events of one response, from all its attempts: sends each event to the caller once, in order. */
+/**
+ * The events of one response, from all its attempts: sends each event to the caller once, in order.
+ */
 export class ResponseEvents {
   #lastId: number | undefined;
-  /** Head of the response: that of the first attempt that sends events, also for events of later attempts. */
+  /**
+   * Head of the response: that of the first attempt that sends events, also for events of later
+   * attempts.
+   */
   #head: ResponseHead | undefined;
 
   /** `lastId`: id of the last event that the caller already has; undefined if it has none. */
@@ -30,8 +35,8 @@
   }
 
   /**
-   * Ends the response and returns its status. `head` is used if no event was sent, as in a stream resumed after its
-   * last event.
+   * Ends the response and returns its status. `head` is used if no event was sent, as in a stream
+   * resumed after its last event.
    */
   end(head: ResponseHead): number {
     const sentHead = this.#head ?? head;
--- a/packages/relay/src/request/silence-watch.ts
+++ b/packages/relay/src/request/silence-watch.ts
@@ -17,7 +17,9 @@
 /** Delay before a silent engine that answered a status query is checked again. */
 const BUSY_RECHECK_MS: Milliseconds = 500;
 
-/** Monitors the server of one attempt at a time and reports when it has been silent for too long. */
+/**
+ * Monitors the server of one attempt at a time and reports when it has been silent for too long.
+ */
 export class SilenceWatch {
   #monitored: Choice | undefined;
   #lastEventAtMs: Milliseconds = 0;
@@ -52,8 +54,8 @@
   }
 
   /**
-   * Checks a silent server. An engine that answers a status query is only busy, and a new prefill elsewhere would not
-   * help.
+   * Checks a silent server. An engine that answers a status query is only busy, and a new prefill
+   * elsewhere would not help.
    */
   async #onSilence(): Promise<void> {
     const silent = this.#monitored;
--- a/packages/relay/src/request/startup-grace.test.ts
+++ b/packages/relay/src/request/startup-grace.test.ts
@@ -9,7 +9,10 @@
   return Result.err(fault(code, 'why'));
 }
 
-/** Simulates a host that has its configuration from `knownAtMs` on, with a request every 20 ms from its start. */
+/**
+ * Simulates a host that has its configuration from `knownAtMs` on, with a request every 20 ms from
+ * its start.
+ */
 async function simulateStart(knownAtMs: number, forMs: number) {
   const clock = new ManualClock();
   const startedAtMs = clock.monotonicMs();
--- a/packages/relay/src/request/startup-grace.ts
+++ b/packages/relay/src/request/startup-grace.ts
@@ -3,19 +3,21 @@
 import type { Result } from 'true-myth';
 
 /**
- * How long after its start, or after a process pause, a host lets requests wait for its configuration. Hosts with a
- * third of a core have it 0.22 s after they open their port in the median of 135 starts, and 0.26 s at the 90th
- * percentile; the first heartbeat that confirms it follows at once.
+ * How long after its start, or after a process pause, a host lets requests wait for its
+ * configuration. Hosts with a third of a core have it 0.22 s after they open their port in the
+ * median of 135 starts, and 0.26 s at the 90th percentile; the first heartbeat that confirms it
+ * follows at once.
  */
 const GRACE_MS: Milliseconds = 500;
 /** Period of the checks of a waiting request. */
 const POLL_PERIOD_MS: Milliseconds = 10;
 
 /**
- * Lets requests wait that arrive just after the start or a pause of the process, before the host has a confirmed
- * configuration. After a loss of all hosts callers retry at once, most of them for the last time: a refusal would
- * fail their requests, although the configuration arrives within a moment. A host without a confirmed configuration
- * at any later time has lost the store and all its peers, and refuses at once.
+ * Lets requests wait that arrive just after the start or a pause of the process, before the host
+ * has a confirmed configuration. After a loss of all hosts callers retry at once, most of them for
+ * the last time: a refusal would fail their requests, although the configuration arrives within a
+ * moment. A host without a confirmed configuration at any later time has lost the store and all its
+ * peers, and refuses at once.
  */
 export class StartupGrace {
   #untilMs: Milliseconds;
@@ -30,8 +32,8 @@
   }
 
   /**
-   * Calls `admit` until its result is no longer `not_ready`, the caller has disconnected or the grace period is over;
-   * returns the last result.
+   * Calls `admit` until its result is no longer `not_ready`, the caller has disconnected or the
+   * grace period is over; returns the last result.
    */
   async waitForAdmission<Value>(
     admit: () => Result<Value, Fault>,
