--- a/packages/relay/src/backend/gated-engine-memory.test.ts
+++ b/packages/relay/src/backend/gated-engine-memory.test.ts
@@ -16,7 +16,7 @@
   const memory: EngineMemory = {
     reserve: (_server, _id, _tokens, holdMs) => {
       sent.push(`reserve for ${String(holdMs)}`);
-      return Promise.resolve({ isHeld: true, startedAtMs: 7, word: NOTICE });
+      return Promise.resolve({ isReserved: true, startedAtMs: 7, word: NOTICE });
     },
     release: () => {
       sent.push('release');
@@ -61,9 +61,9 @@
 
   it('reserves memory beyond a backoff with one command, and sends no more commands than allowed', async () => {
     const { sent, gated } = engine(3000, 2);
-    expect((await gated.reserve(SERVER, 'm', 10, 2200)).isHeld).toBe(true);
+    expect((await gated.reserve(SERVER, 'm', 10, 2200)).isReserved).toBe(true);
     expect((await gated.release(SERVER, 'm')).isAnswered).toBe(true);
-    expect((await gated.reserve(SERVER, 'm', 10, 2200)).isHeld).toBe(false);
+    expect((await gated.reserve(SERVER, 'm', 10, 2200)).isReserved).toBe(false);
     expect((await gated.release(SERVER, 'm')).isAnswered).toBe(false);
     expect(sent).toEqual(['reserve for 5200', 'release']);
   });
--- a/packages/relay/src/backend/gated-engine-memory.ts
+++ b/packages/relay/src/backend/gated-engine-memory.ts
@@ -75,7 +75,7 @@
     tokens: number,
     holdMs: Milliseconds,
   ): Promise<ReserveResult> {
-    if (!this.gate.tryReservationCommand(server)) return { isHeld: false };
+    if (!this.gate.tryReservationCommand(server)) return { isReserved: false };
     // One command reserves the memory beyond the end of the backoff.
     const backoffMs = this.gate.backoffLeftMs(server);
     const requestedMs = this.gate.isLimited(server)
@@ -84,7 +84,7 @@
     const reservedForMs = extendOverBackoff(requestedMs, backoffMs);
     const answer = await this.memory.reserve(server, id, tokens, reservedForMs);
     this.#notifyObserver(server, answer);
-    return { ...answer, heldForMs: reservedForMs };
+    return { ...answer, reservedForMs };
   }
 
   async release(server: BackendServer, id: string): Promise<ReleaseResult> {
--- a/packages/relay/src/backend/memory-reservation.test.ts
+++ b/packages/relay/src/backend/memory-reservation.test.ts
@@ -5,7 +5,7 @@
 import { MemoryReservation } from './memory-reservation.js';
 
 /** Reserves memory for a decode engine whose responsiveness the test controls. */
-async function reserveMemory(heldForMs?: number) {
+async function reserveMemory(reservedForMs?: number) {
   const clock = new ManualClock();
   let isAlive = true;
   let lost = 0;
@@ -13,7 +13,10 @@
   const memory: EngineMemory = {
     reserve: () => {
       reservedAtMs.push(clock.monotonicMs());
-      return Promise.resolve({ isHeld: true, ...(heldForMs === undefined ? {} : { heldForMs }) });
+      return Promise.resolve({
+        isReserved: true,
+        ...(reservedForMs === undefined ? {} : { reservedForMs }),
+      });
     },
     release: () => Promise.resolve({ isAnswered: true }),
     readStatus: () => Promise.resolve(isAlive ? { running: 1, memoryTokens: 1 } : undefined),
--- a/packages/relay/src/backend/memory-reservation.ts
+++ b/packages/relay/src/backend/memory-reservation.ts
@@ -66,7 +66,7 @@
   ): Promise<MemoryReservation | undefined> {
     const held = new MemoryReservation(parts, id, use);
     const results = await held.#reserveAll();
-    const isComplete = results.every((isHeld) => isHeld);
+    const isComplete = results.every((isReserved) => isReserved);
     parts.log.info('memory_held', {
       request: use.requestId,
       reservation: id,
@@ -120,14 +120,14 @@
     // sent.
     const nowMs = clock.monotonicMs();
     if ((this.#reservedUntilMs.get(server.id) ?? 0) > nowMs + RESERVATION_MS) return true;
-    const { isHeld, heldForMs = RESERVATION_MS } = await memory.reserve(
+    const { isReserved, reservedForMs = RESERVATION_MS } = await memory.reserve(
       server,
       this.id,
       tokens,
       RESERVATION_MS,
     );
-    if (isHeld) this.#reservedUntilMs.set(server.id, nowMs + heldForMs);
-    return isHeld;
+    if (isReserved) this.#reservedUntilMs.set(server.id, nowMs + reservedForMs);
+    return isReserved;
   }
 
   async #releaseOne(server: BackendServer): Promise<void> {
--- a/packages/relay/src/ports.ts
+++ b/packages/relay/src/ports.ts
@@ -165,9 +165,9 @@
   /** What the engine reports about itself; undefined if it did not respond. */
   readonly word?: ServerNotice | undefined;
   /** Whether the memory is reserved. */
-  readonly isHeld: boolean;
+  readonly isReserved: boolean;
   /** Duration of the reservation, if longer than requested. */
-  readonly heldForMs?: Milliseconds;
+  readonly reservedForMs?: Milliseconds;
   /** Unix time at which the responding incarnation started; undefined if not reported. */
   readonly startedAtMs?: Milliseconds | undefined;
 }
