--- a/packages/relay/src/notices/limits-of-all-hosts.test.ts
+++ b/packages/relay/src/notices/limits-of-all-hosts.test.ts
@@ -164,7 +164,7 @@
     expect(fleet.usedShare(fromMs)).toBeGreaterThan(0.9);
   });
 
-  it('are exceeded by at most half when the host that grants permits dies, and are used again soon after', async () => {
+  it('are exceeded by at most half and five requests when the host that grants permits dies, and are used again soon after', async () => {
     const fleet = await startFleet(8);
     const fromMs = fleet.nowMs;
     await fleet.runTraffic(3000);
@@ -179,7 +179,7 @@
     expect(fleet.usedShare(laterMs)).toBeGreaterThan(0.8);
   });
 
-  it('are exceeded by at most half when a network partition begins or heals, and are used in both parts', async () => {
+  it('are exceeded by at most half and five requests when a network partition begins or heals, and are used in both parts', async () => {
     const fleet = await startFleet(8);
     const fromMs = fleet.nowMs;
     const sideOf = (host: string) => Number(host.replace('host-', '')) % 2;
@@ -195,7 +195,7 @@
     expect(fleet.usedShare(healedMs + 3000)).toBeGreaterThan(0.9);
   });
 
-  it('are exceeded by at most half when a fifth of the messages between hosts are lost', async () => {
+  it('are exceeded by at most half and five requests when a fifth of the messages between hosts are lost', async () => {
     const fleet = await startFleet(8);
     const fromMs = fleet.nowMs;
     let sent = 0;
--- a/packages/relay/src/peers/peer-list.ts
+++ b/packages/relay/src/peers/peer-list.ts
@@ -48,8 +48,8 @@
 const MAX_QUERIED_IN_OUTAGE = 4;
 /**
  * Maximum number of silent hosts that are queried in the first period, and by which the maximum
- * grows with each period without a live peer. Without it, a host that starts while all others are
- * down would query all of them.
+ * grows with each period without a live peer. Without this maximum, a host that starts while all
+ * others are down would query all of them.
  */
 const INITIAL_SILENT_QUERIES = 8;
 /** Hosts that track the attempts of a service: one plans, the other is its standby. */
--- a/packages/relay/src/peers/peer-rank.test.ts
+++ b/packages/relay/src/peers/peer-rank.test.ts
@@ -30,11 +30,18 @@
 
   it('gives the same order on all hosts, in whichever order they have learned of the others', () => {
     fc.assert(
-      fc.property(fc.uniqueArray(peer, { selector: ({ host }) => host }), fc.nat(), (hosts, by) => {
-        const turned = [...hosts.slice(by % (hosts.length + 1)), ...hosts].slice(0, hosts.length);
-        const all = new Map([...turned, ...hosts].map((one) => [one.host, one]));
-        expect(rankPeers([...all.values()])).toEqual(rankPeers(hosts));
-      }),
+      fc.property(
+        fc.uniqueArray(peer, { selector: ({ host }) => host }),
+        fc.nat(),
+        (hosts, offset) => {
+          const rotated = [...hosts.slice(offset % (hosts.length + 1)), ...hosts].slice(
+            0,
+            hosts.length,
+          );
+          const all = new Map([...rotated, ...hosts].map((one) => [one.host, one]));
+          expect(rankPeers([...all.values()])).toEqual(rankPeers(hosts));
+        },
+      ),
       { seed: 27 },
     );
   });
--- a/packages/relay/src/peers/quarantine-exchange.test.ts
+++ b/packages/relay/src/peers/quarantine-exchange.test.ts
@@ -67,10 +67,10 @@
   it('reaches all hosts within three seconds by heartbeats alone, of which four in ten are lost', async () => {
     const hosts = network(12, 3);
     await hosts.run(2000);
-    let drawn = 1;
+    let randomState = 1;
     hosts.lost = ({ kind }) => {
-      drawn = (drawn * 16_807) % 2_147_483_647;
-      return kind === 'quarantine' || drawn % 10 < 4;
+      randomState = (randomState * 16_807) % 2_147_483_647;
+      return kind === 'quarantine' || randomState % 10 < 4;
     };
     for (let index = 0; index < 3; index += 1) reportTermination(hosts.hosts.get(9));
     await hosts.run(3000);
@@ -137,7 +137,7 @@
     expect(decodeMessage(pack(earlier))).toMatchObject({ kind: 'beat', quarantine: [] });
   });
 
-  it('sends at most 24 KB per second when a thousand different requests terminate servers', async () => {
+  it('sends each peer at most ten batches of 16 entries per second when a thousand requests terminate servers', async () => {
     const hosts = network(6, 2);
     await hosts.run(2000);
     let told = 0;
--- a/packages/relay/src/peers/store-sync-state.ts
+++ b/packages/relay/src/peers/store-sync-state.ts
@@ -57,7 +57,7 @@
 
   constructor(readonly parts: StoreSyncStateParts) {}
 
-  /** Whether this host's last call to the store failed, not long ago. */
+  /** Whether this host's last call to the store failed recently. */
   get isStoreLost(): boolean {
     if (this.#storeFailedAtMs === undefined) return false;
     return this.parts.clock.monotonicMs() - this.#storeFailedAtMs < STORE_LOST_FOR_MS;
@@ -175,7 +175,7 @@
     this.#onRefreshNeeded();
   }
 
-  /** Compares the versions that a peer reports, if it is not known when they were the newest. */
+  /** Compares the versions that a peer reports without the times at which they were the newest. */
   onPeerVersions(word: StoreVersions): void {
     this.#recordConfigurationVersion(word.configurationVersion);
     this.#recordListVersion(word);
--- a/packages/relay/src/peers/zone-broadcast.ts
+++ b/packages/relay/src/peers/zone-broadcast.ts
@@ -13,7 +13,7 @@
 /**
  * Broadcasts messages to all hosts without any host sending to all others. A host sends to the two
  * coordinators; these send to one host of each availability zone, which forwards the message within
- * its zone. Any message may be lost; what must arrive is repaired by other means.
+ * its zone. Any message may be lost; what must arrive also reaches hosts by other means.
  */
 export class ZoneBroadcast<Message> {
   constructor(
--- a/packages/relay/src/planning/plan-request.ts
+++ b/packages/relay/src/planning/plan-request.ts
@@ -1,7 +1,7 @@
 import type { Milliseconds } from '@poppypond/core';
 import type { ReservedTokens, PlacementRule } from '@poppypond/fleet';
 
-/** What a host asks the planner of a service of engines. */
+/** A host's request to the planner of an engine service. */
 export interface PlanRequest {
   /** Identifies the attempt to plan; the same id is sent again if no answer comes. */
   readonly attemptId: string;
--- a/packages/relay/src/planning/planned-use.ts
+++ b/packages/relay/src/planning/planned-use.ts
@@ -2,7 +2,7 @@
 import type { AttemptUse } from '@poppypond/fleet';
 import type { PlannedStream, PlanRequest } from './plan-request.js';
 
-/** Time allowed for the server's own response that the time limit has ended to arrive. */
+/** Time allowed after the deadline for the server's own timeout response to arrive. */
 export const DEADLINE_SLACK_MS: Milliseconds = 20;
 
 /**
--- a/packages/relay/src/quarantine/shared-quarantine.ts
+++ b/packages/relay/src/quarantine/shared-quarantine.ts
@@ -20,8 +20,8 @@
 }
 
 /**
- * All hosts learn of a trial run within this time, from a heartbeat if the message about it is
- * lost.
+ * Delay per rank before a host allows a trial run. All hosts learn of a trial run within this time,
+ * from a heartbeat if the message about it is lost.
  */
 const GRACE_PER_RANK_MS: Milliseconds = 500;
 /**
--- a/packages/relay/src/request/prefill-watch.ts
+++ b/packages/relay/src/request/prefill-watch.ts
@@ -5,7 +5,8 @@
  * Period of the status queries to the engines that prefill a long prompt. An engine that depends on
  * a dead one stalls for 1.5 s before it reports that, which is more than a third of the latency
  * target of the longest prompts. A period of 400 ms sends 1,550 queries more in a day of long
- * prompts, each on a connection of its own, which costs 0.003 of the value of a day.
+ * prompts, each on a connection of its own, which costs 0.003 of the value that the answers of such
+ * a day earn.
  */
 const QUERY_PERIOD_MS: Milliseconds = 800;
 /**
--- a/packages/relay/src/store/server-incarnations.test.ts
+++ b/packages/relay/src/store/server-incarnations.test.ts
@@ -147,9 +147,9 @@
           if (kind === 'late_beat') stored = before;
           if (kind === 'ask') list.onStartTime(born(known), latestStartedAtMs);
           if (kind === 'read') read(stored);
-          const isTold =
+          const isReported =
             kind === 'ask' || (kind === 'read' && stored.startedAtMs === latestStartedAtMs);
-          if (isTold) {
+          if (isReported) {
             expect(current()).toBe(latestStartedAtMs);
             if (known !== latestStartedAtMs) expect(endedStartTimes.at(-1)).toBe(known);
             if (known !== latestStartedAtMs) watch(latestStartedAtMs);
--- a/packages/relay/src/store/server-incarnations.ts
+++ b/packages/relay/src/store/server-incarnations.ts
@@ -23,7 +23,8 @@
   }
 
   /**
-   * Returns the current incarnation if `known` is the one so far and the list contains `listed`.
+   * Returns the current incarnation of a server. `known`: the current one so far, undefined if none
+   * is known; `listed`: the one that the list contains now.
    */
   choose(
     known: BackendServer | undefined,
--- a/packages/relay/src/store/server-list.test.ts
+++ b/packages/relay/src/store/server-list.test.ts
@@ -139,23 +139,23 @@
         let wasUnavailable = false;
         let graceUntilMs = 0;
         let confirmedAtMs = Number.NEGATIVE_INFINITY;
-        for (const played of steps) {
-          if (played.kind === 'pass' && 'ms' in played) clock.skip(played.ms);
-          if (played.kind === 'away') {
+        for (const nextStep of steps) {
+          if (nextStep.kind === 'pass' && 'ms' in nextStep) clock.skip(nextStep.ms);
+          if (nextStep.kind === 'away') {
             wasUnavailable = true;
             list.onStoreUnavailable();
           }
-          if (played.kind === 'read') {
+          if (nextStep.kind === 'read') {
             const nowMs = clock.monotonicMs();
-            const isUnseen = nowMs - confirmedAtMs > 2000;
-            if (wasUnavailable && isKnown && isUnseen) graceUntilMs = nowMs + 2000;
+            const wasUnconfirmed = nowMs - confirmedAtMs > 2000;
+            if (wasUnavailable && isKnown && wasUnconfirmed) graceUntilMs = nowMs + 2000;
             confirmedAtMs = nowMs;
             const kept = nowMs < graceUntilMs ? expected : [];
-            expected = new Set([...kept, ...played.ids]);
+            expected = new Set([...kept, ...nextStep.ids]);
             isKnown = true;
             wasUnavailable = false;
             list.replace(
-              played.ids.map((id) => server(id)),
+              nextStep.ids.map((id) => server(id)),
               nowMs,
               0,
             );
--- a/packages/relay/src/store/server-list.ts
+++ b/packages/relay/src/store/server-list.ts
@@ -214,17 +214,17 @@
   }
 
   /**
-   * Records that a server is gone, as reported to the host `toldBy` by the server itself or by the
-   * server that has its address now. Returns false if that was known.
+   * Records that a server is gone, as reported to the host `reportedBy` by the server itself or by
+   * the server that has its address now. Returns false if that was known.
    */
-  onGone(server: BackendServer, toldBy: string): boolean {
+  onGone(server: BackendServer, reportedBy: string): boolean {
     const { id } = server;
     const known = this.#servers.get(id);
     if (this.#isGone(server) || !known || !isSameIncarnation(known, server)) return false;
     this.#gone.set(id, server);
     this.#byService.clear();
     const why = 'address_answers_for_another';
-    this.log.warn('server_gone', { server: id, why, told_by: toldBy });
+    this.log.warn('server_gone', { server: id, why, told_by: reportedBy });
     return true;
   }
 
@@ -302,7 +302,7 @@
     this.#byService.clear();
   }
 
-  #put(server: BackendServer, toldBy: 'its_entry' | 'its_answer', isFirstList = false): void {
+  #put(server: BackendServer, reportedBy: 'its_entry' | 'its_answer', isFirstList = false): void {
     const before = this.#servers.get(server.id);
     if (before === server) return;
     this.#servers.set(server.id, server);
@@ -310,7 +310,7 @@
     // Components that used the server before its entry expired may still depend on an earlier
     // incarnation.
     const last = before ?? this.#expired.get(server.id)?.server;
-    if (last && !isSameIncarnation(last, server)) this.#beginIncarnation(last, server, toldBy);
+    if (last && !isSameIncarnation(last, server)) this.#beginIncarnation(last, server, reportedBy);
     if (isFirstList || before?.isDraining === server.isDraining) return;
     const state = server.isDraining ? 'draining' : 'ready';
     this.log.warn('server_listed', { server: server.id, service: server.service, state });
@@ -330,11 +330,11 @@
     }
   }
 
-  #beginIncarnation(before: BackendServer, server: BackendServer, toldBy: string): void {
+  #beginIncarnation(before: BackendServer, server: BackendServer, reportedBy: string): void {
     this.log.warn('server_started_again', {
       server: server.id,
       service: server.service,
-      told_by: toldBy,
+      told_by: reportedBy,
       born_ms: server.startedAtMs,
       before_born_ms: before.startedAtMs,
       list_age_ms: Math.round(this.freshness.ageMs()),
--- a/packages/relay/src/store/store-clock.ts
+++ b/packages/relay/src/store/store-clock.ts
@@ -10,7 +10,10 @@
 
   constructor(readonly clock: Clock) {}
 
-  /** Returns the latest time that the response is certainly not older than. */
+  /**
+   * Returns the latest known lower bound on the time, on this process's clock, at which the
+   * response was produced.
+   */
   dateResponse(askedAtMs: Milliseconds, storeNowMs: Milliseconds): Milliseconds {
     const offsetMs = askedAtMs - storeNowMs;
     const known = this.#minOffsetMs;
