--- a/packages/relay/src/quarantine/shared-quarantine.ts
+++ b/packages/relay/src/quarantine/shared-quarantine.ts
@@ -62,7 +62,7 @@
     this.#rankOfHost = place;
   }
 
-  /** Whether a request whose content id begins with `prefix` may be known. */
+  /** Whether there may be an entry of a request whose content id begins with `prefix`. */
   mayContain(prefix: () => string): boolean {
     return this.parts.quarantine.mayContain(prefix);
   }
--- a/packages/relay/src/store/server-list.ts
+++ b/packages/relay/src/store/server-list.ts
@@ -49,8 +49,8 @@
 export class ServerList {
   readonly #servers = new Map<string, BackendServer>();
   /**
-   * Incarnations known to be gone, by id: they said so themselves, or another server has their
-   * address.
+   * Incarnations known to be gone, by id: they reported it themselves, or another server has
+   * their address.
    */
   readonly #gone = new Map<string, BackendServer>();
   readonly #incarnations = new ServerIncarnations();
