--- a/packages/relay/src/notices/limits-of-all-hosts.test.ts
+++ b/packages/relay/src/notices/limits-of-all-hosts.test.ts
@@ -13,7 +13,10 @@
 const ENGINES = 4;
 const PER_SECOND = 2;
 const WINDOW_MS: Milliseconds = 4000;
-/** What the limit allows in the window, plus one saved permit and one that becomes available within it. */
+/**
+ * What the limit allows in the window, plus one saved permit and one that becomes available within
+ * it.
+ */
 const EXPECTED_MAX = (PER_SECOND * WINDOW_MS) / 1000 + 2;
 /** The most that a server may receive while hosts fail, as a failure is not detected at once. */
 const FAILURE_MAX = (1.5 * PER_SECOND * WINDOW_MS) / 1000 + 5;
@@ -161,7 +164,7 @@
     expect(fleet.usedShare(fromMs)).toBeGreaterThan(0.9);
   });
 
-  it('are exceeded by at most half when the host that grants permits dies, and are used again soon after', async () => {
+  it('are exceeded by at most half and five requests when the host that grants permits dies, and are used again soon after', async () => {
     const fleet = await startFleet(8);
     const fromMs = fleet.nowMs;
     await fleet.runTraffic(3000);
@@ -176,7 +179,7 @@
     expect(fleet.usedShare(laterMs)).toBeGreaterThan(0.8);
   });
 
-  it('are exceeded by at most half when a network partition begins or heals, and are used in both parts', async () => {
+  it('are exceeded by at most half and five requests when a network partition begins or heals, and are used in both parts', async () => {
     const fleet = await startFleet(8);
     const fromMs = fleet.nowMs;
     const sideOf = (host: string) => Number(host.replace('host-', '')) % 2;
@@ -192,7 +195,7 @@
     expect(fleet.usedShare(healedMs + 3000)).toBeGreaterThan(0.9);
   });
 
-  it('are exceeded by at most half when a fifth of the messages between hosts are lost', async () => {
+  it('are exceeded by at most half and five requests when a fifth of the messages between hosts are lost', async () => {
     const fleet = await startFleet(8);
     const fromMs = fleet.nowMs;
     let sent = 0;
--- a/packages/relay/src/peers/mocks/mesh-network.ts
+++ b/packages/relay/src/peers/mocks/mesh-network.ts
@@ -92,7 +92,8 @@
 
   /**
    * Starts a host that has read from the store that the hosts at the ports `known` are members. It
-   * has not read the server list if `hasServerList` is false, nor the members if `isListed` is false.
+   * has not read the server list if `hasServerList` is false, nor the members if `isListed` is
+   * false.
    */
   start(port: number, known: readonly number[], hasServerList = true, isListed = true): Host {
     const startedAtMs = this.clock.monotonicMs();
@@ -103,11 +104,11 @@
     const list = new ServerList(clock, silentLog);
     const fleet = new FleetView();
     this.#incarnations += 1;
-    const syncState = new StoreSyncState({ clock, inForce: activeConfiguration, freshness, list });
+    const syncState = new StoreSyncState({ clock, activeConfiguration, freshness, list });
     const own = {
       clock,
       log: silentLog,
-      measures: new PrometheusMetrics(),
+      metrics: new PrometheusMetrics(),
       host: addressOf(port).host,
     };
     const rests = new ServerBackoffs(random);
--- a/packages/relay/src/peers/store-sync-state.ts
+++ b/packages/relay/src/peers/store-sync-state.ts
@@ -12,7 +12,10 @@
   readonly listVersion: number;
 }
 
-/** Store versions, with the times on this process's clock at which each was the newest; undefined for never. */
+/**
+ * Store versions, with the times on this process's clock at which each was the newest; undefined
+ * for never.
+ */
 export interface DatedStoreVersions extends StoreVersions {
   readonly configurationAtMs: Milliseconds | undefined;
   readonly listAtMs: Milliseconds | undefined;
@@ -24,7 +27,7 @@
 /** Dependencies of `StoreSyncState`. */
 export interface StoreSyncStateParts {
   readonly clock: Clock;
-  readonly inForce: ActiveConfiguration;
+  readonly activeConfiguration: ActiveConfiguration;
   readonly freshness: Freshness;
   readonly list: ServerList;
 }
@@ -34,11 +37,18 @@
  * versions confirms that they are recent; one that has newer ones is a reason to read the store.
  */
 export class StoreSyncState {
-  /** The newest configuration version that a peer has reported, and when, on this process's clock. */
+  /**
+   * The newest configuration version that a peer has reported, and when, on this process's clock.
+   */
   #newestPeerConfiguration = { version: 0, atMs: 0 };
-  /** The newest version that a peer has reported for a server list with another digest than this host's. */
+  /**
+   * The newest version that a peer has reported for a server list with another digest than this
+   * host's.
+   */
   #newestOtherListVersion = 0;
-  /** Since when a peer is known to have newer state, on this process's clock; undefined if none has. */
+  /**
+   * Since when a peer is known to have newer state, on this process's clock; undefined if none has.
+   */
   #behindSinceMs: Milliseconds | undefined;
   #storeFailedAtMs: Milliseconds | undefined;
   #onRefreshNeeded: () => void = () => undefined;
@@ -47,7 +57,7 @@
 
   constructor(readonly parts: StoreSyncStateParts) {}
 
-  /** Whether this host's last call to the store failed, not long ago. */
+  /** Whether this host's last call to the store failed recently. */
   get isStoreLost(): boolean {
     if (this.#storeFailedAtMs === undefined) return false;
     return this.parts.clock.monotonicMs() - this.#storeFailedAtMs < STORE_LOST_FOR_MS;
@@ -65,9 +75,9 @@
 
   /** The versions that this host reports to its peers. */
   get ownVersions(): StoreVersions {
-    const { inForce, list } = this.parts;
+    const { activeConfiguration, list } = this.parts;
     return {
-      configurationVersion: inForce.version,
+      configurationVersion: activeConfiguration.version,
       listDigest: list.digest,
       listVersion: list.listed.version,
     };
@@ -85,7 +95,7 @@
 
   /** Whether a peer has a newer configuration. */
   get isConfigurationBehind(): boolean {
-    return this.#newestPeerConfiguration.version > this.parts.inForce.version;
+    return this.#newestPeerConfiguration.version > this.parts.activeConfiguration.version;
   }
 
   /** Whether a peer has a newer server list. */
@@ -127,11 +137,11 @@
 
   /** Applies a configuration that a peer has read. Returns false if it is invalid or not newer. */
   applyConfiguration(bytes: Buffer, configurationVersion: number): boolean {
-    const before = this.parts.inForce.version;
+    const before = this.parts.activeConfiguration.version;
     this.#onConfigurationReceived(bytes);
     this.#recordConfigurationVersion(configurationVersion);
     this.#notifyIfBehind();
-    return this.parts.inForce.version > before;
+    return this.parts.activeConfiguration.version > before;
   }
 
   /** Applies a server list that a peer has read. Returns false if it is not newer. */
@@ -141,7 +151,9 @@
     return this.ownVersions.listVersion > before;
   }
 
-  /** Records that a listed server is gone, as `host` reports. Returns false if that changes nothing. */
+  /**
+   * Records that a listed server is gone, as `host` reports. Returns false if that changes nothing.
+   */
   onServerGone(server: BackendServer, host: string): boolean {
     return this.parts.list.onGone(server, host);
   }
@@ -163,18 +175,24 @@
     this.#onRefreshNeeded();
   }
 
-  /** Compares the versions that a peer reports, if it is not known when they were the newest. */
+  /** Compares the versions that a peer reports without the times at which they were the newest. */
   onPeerVersions(word: StoreVersions): void {
     this.#recordConfigurationVersion(word.configurationVersion);
     this.#recordListVersion(word);
     this.#notifyIfBehind();
   }
 
-  /** Compares the versions that a peer reports; equal ones confirm this host's as of the peer's times. */
+  /**
+   * Compares the versions that a peer reports; equal ones confirm this host's as of the peer's
+   * times.
+   */
   onDatedPeerVersions(word: DatedStoreVersions): void {
-    const { inForce, freshness, list } = this.parts;
+    const { activeConfiguration, freshness, list } = this.parts;
     this.#recordConfigurationVersion(word.configurationVersion);
-    if (word.configurationVersion === inForce.version && word.configurationAtMs !== undefined) {
+    if (
+      word.configurationVersion === activeConfiguration.version &&
+      word.configurationAtMs !== undefined
+    ) {
       freshness.confirm(word.configurationAtMs);
     }
     if (word.listAtMs !== undefined) {
@@ -184,7 +202,10 @@
     this.#notifyIfBehind();
   }
 
-  /** Records that the store, queried at `askedAtMs`, has returned the configuration that was the newest then. */
+  /**
+   * Records that the store, queried at `askedAtMs`, has returned the configuration that was the
+   * newest then.
+   */
   onConfigurationRead(askedAtMs: Milliseconds): void {
     const wasLost = this.#storeFailedAtMs !== undefined;
     this.#storeFailedAtMs = undefined;
--- a/packages/relay/src/quarantine/shared-quarantine.ts
+++ b/packages/relay/src/quarantine/shared-quarantine.ts
@@ -13,19 +13,26 @@
 export interface SharedQuarantineParts {
   readonly clock: Clock;
   readonly log: Log;
-  readonly measures: PrometheusMetrics;
+  readonly metrics: PrometheusMetrics;
   /** Name of this host. */
   readonly host: string;
   readonly quarantine: Quarantine;
 }
 
-/** All hosts learn of a trial run within this time, from a heartbeat if the message about it is lost. */
+/**
+ * Delay per rank before a host allows a trial run. All hosts learn of a trial run within this time,
+ * from a heartbeat if the message about it is lost.
+ */
 const GRACE_PER_RANK_MS: Milliseconds = 500;
-/** Hosts beyond this rank share one grace period: they allow a trial run ten seconds after the first host would. */
+/**
+ * Hosts beyond this rank share one grace period: they allow a trial run ten seconds after the first
+ * host would.
+ */
 const MAX_RANK = 20;
 
 /**
- * Describes, for people, which servers terminated while running a request, how long ago, and which host reported it.
+ * Describes, for people, which servers terminated while running a request, how long ago, and which
+ * host reported it.
  */
 export function describeTerminations({ lastTerminations }: QuarantineEntry, nowMs: number): string {
   return lastTerminations
@@ -36,7 +43,8 @@
 }
 
 /**
- * The quarantine of requests whose attempts terminate servers, as known to this host and its peers; logs each change.
+ * The quarantine of requests whose attempts terminate servers, as known to this host and its peers;
+ * logs each change.
  */
 export class SharedQuarantine implements QuarantineRegistry {
   #onChange: (entry: QuarantineEntry) => void = () => undefined;
@@ -54,7 +62,7 @@
     this.#rankOfHost = place;
   }
 
-  /** Whether a request whose content id begins with `prefix` may be known. */
+  /** Whether there may be an entry of a request whose content id begins with `prefix`. */
   mayContain(prefix: () => string): boolean {
     return this.parts.quarantine.mayContain(prefix);
   }
@@ -78,14 +86,17 @@
     return verdict;
   }
 
-  /** Returns the time until this host allows a trial run, which callers receive as their retry delay. */
+  /**
+   * Returns the time until this host allows a trial run, which callers receive as their retry
+   * delay.
+   */
   quarantinedForMs({ quarantinedUntilMs }: QuarantineEntry): Milliseconds {
     return Math.max(0, quarantinedUntilMs + this.#graceMs - this.parts.clock.monotonicMs());
   }
 
   /**
-   * Records that a server terminated during a run of this host; `history`: what was known as the run began. Returns
-   * the new entry.
+   * Records that a server terminated during a run of this host; `history`: what was known as the
+   * run began. Returns the new entry.
    */
   onTermination(content: string, history: TerminationHistory, server: string): QuarantineEntry {
     const { clock, quarantine, host } = this.parts;
@@ -123,10 +134,10 @@
 
   /** Removes entries that no longer have an effect. */
   expire(): void {
-    const { clock, measures, quarantine } = this.parts;
+    const { clock, metrics, quarantine } = this.parts;
     const nowMs = clock.monotonicMs();
     quarantine.expire(nowMs);
-    measures.set('poppypond_requests_quarantined', quarantine.quarantinedCount(nowMs));
+    metrics.set('poppypond_requests_quarantined', quarantine.quarantinedCount(nowMs));
   }
 
   get #graceMs(): Milliseconds {
@@ -144,9 +155,9 @@
   }
 
   #log(change: 'held' | 'freed' | 'trial', entry: QuarantineEntry, reportedBy: string): void {
-    const { clock, log, measures } = this.parts;
+    const { clock, log, metrics } = this.parts;
     const nowMs = clock.monotonicMs();
-    measures.count('poppypond_quarantine_changes_total', { change });
+    metrics.count('poppypond_quarantine_changes_total', { change });
     log.warn('quarantine', {
       change,
       content: entry.content,
