--- a/packages/backend/src/attempt.ts
+++ b/packages/backend/src/attempt.ts
@@ -52,7 +52,10 @@
   | {
       readonly kind: 'refused';
       readonly reason: string;
-      /** How long this host must send the engine nothing; undefined if the engine requests no backoff. */
+      /**
+       * Time for which this host must send the engine no requests; undefined if the engine requests
+       * no backoff.
+       */
       readonly backoffMs?: Milliseconds | undefined;
     }
   | { readonly kind: 'not_sent'; readonly detail: string }
@@ -92,7 +95,10 @@
   };
 }
 
-/** Reads the frames of one attempt: drops those of other attempts, and accepts each index once, in order. */
+/**
+ * Reads the frames of one attempt: drops those of other attempts, and accepts each index once, in
+ * order.
+ */
 class FrameReader {
   #nextIndex: number;
   end: AttemptEnd | undefined;
@@ -150,7 +156,10 @@
   return Buffer.concat(chunks).toString('utf8');
 }
 
-/** Reads a refusal. It counts only if its body is complete, as only then the engine has confirmed it. */
+/**
+ * Reads a refusal. It counts only if its body is complete, as only then the engine has confirmed
+ * it.
+ */
 async function readRefusal(response: IncomingMessage): Promise<AttemptEnd> {
   const refused = refusedSchema.safeParse(parseJson(await readText(response)));
   const { headers, statusCode } = response;
@@ -180,7 +189,10 @@
   });
 }
 
-/** Runs one attempt. Aborting `signal` closes the stream, which also cancels the attempt on the engine. */
+/**
+ * Runs one attempt. Aborting `signal` closes the stream, which also cancels the attempt on the
+ * engine.
+ */
 export async function runAttempt(
   call: AttemptCall,
   listener: AttemptListener,
--- a/packages/backend/src/engine-commands.ts
+++ b/packages/backend/src/engine-commands.ts
@@ -23,8 +23,8 @@
 }
 
 /**
- * `followed`: the engine has executed the command. `older_fence`: a newer holder of the lease has sent a command
- * since. `unknown`: the engine may have executed the command.
+ * `followed`: the engine has executed the command. `older_fence`: a newer holder of the lease has
+ * sent a command since. `unknown`: the engine may have executed the command.
  */
 export type CommandResult = 'followed' | 'failed' | 'older_fence' | 'not_sent' | 'unknown';
 
--- a/packages/backend/src/engine-memory.ts
+++ b/packages/backend/src/engine-memory.ts
@@ -35,7 +35,9 @@
   readonly timeRemainingMs: Milliseconds;
 }
 
-/** Why memory could not be reserved. After `unknown` the engine may have reserved it nevertheless. */
+/**
+ * Why memory could not be reserved. After `unknown` the engine may have reserved it nevertheless.
+ */
 export type ReserveFailure = 'no_memory' | 'unreachable' | 'unknown';
 
 const CREATED = 201;
--- a/packages/backend/src/json-lines-feed.ts
+++ b/packages/backend/src/json-lines-feed.ts
@@ -14,7 +14,9 @@
   onClosed(): void;
 }
 
-/** A stream of JSON lines that reconnects, with exponential backoff and jitter, whenever it ends. */
+/**
+ * A stream of JSON lines that reconnects, with exponential backoff and jitter, whenever it ends.
+ */
 export class JsonLinesFeed {
   #abort: AbortController | undefined;
   #isStopped = false;
--- a/packages/backend/src/service-call.ts
+++ b/packages/backend/src/service-call.ts
@@ -16,11 +16,17 @@
 
 /** What a service may report about itself in a response. */
 interface ServiceNotice {
-  /** How long this host must send the service nothing; undefined if the service requests no backoff. */
+  /**
+   * Time for which this host must send the service no calls; undefined if the service requests no
+   * backoff.
+   */
   readonly backoffMs?: Milliseconds | undefined;
 }
 
-/** How a call to a plain service ended. The three outcomes are kept strictly apart. */
+/**
+ * How a call to a plain service ended. `not_run`: it certainly did not run. `unknown`: it may have
+ * run.
+ */
 export type ServiceEnd =
   | ({
       readonly kind: 'answered';
--- a/packages/core/src/boot-clock.ts
+++ b/packages/core/src/boot-clock.ts
@@ -11,17 +11,18 @@
 let read: (() => Milliseconds) | undefined;
 
 /**
- * Returns the time since the host booted, including the time for which it was suspended, or undefined until
- * `loadBootClock` has succeeded. Node has no such clock: `os.uptime()` has a resolution of 10 ms and opens a
- * file on each call.
+ * Returns the time since the host booted, including the time for which it was suspended, or
+ * undefined until `loadBootClock` has succeeded. Node has no such clock: `os.uptime()` has a
+ * resolution of 10 ms and opens a file on each call.
  */
 export function readBootClock(): Milliseconds | undefined {
   return read?.();
 }
 
 /**
- * Loads koffi, by which the C library is called. This takes 3 ms and 2 MB, so the start of a host does not wait for
- * it. Resolves to the reason if the clock is not available; suspensions are not detected then.
+ * Loads koffi, by which the C library is called. This takes 3 ms and 2 MB, so the start of a host
+ * does not wait for it. Resolves to the reason if the clock is not available; suspensions are not
+ * detected then.
  */
 export async function loadBootClock(): Promise<string | undefined> {
   if (process.platform !== 'linux') return `CLOCK_BOOTTIME is not available on ${process.platform}`;
--- a/packages/core/src/clock.test.ts
+++ b/packages/core/src/clock.test.ts
@@ -2,14 +2,14 @@
 import { SystemClock } from './clock.js';
 
 /*
- * A host may be suspended for seconds together with all of its processes. The steady clock does not advance
- * meanwhile, so the host would continue with expired state: it would accept keys that were removed since, take a
- * replaced configuration for the newest, go on planning after other hosts took over, and extend the deadlines of
- * its callers by the time of the suspension.
+ * A host may be suspended for seconds together with all of its processes. The steady clock does not
+ * advance meanwhile, so the host would continue with expired state: it would accept keys that were
+ * removed since, take a replaced configuration for the newest, go on planning after other hosts
+ * took over, and extend the deadlines of its callers by the time of the suspension.
  *
- * All leases, ages and timeouts of a host use `Clock.monotonicMs`, so this clock has to count the suspended time.
- * The wall clock counts it, but it is also set forward and back by seconds without a suspension, so it does not
- * prove a suspension by itself.
+ * All leases, ages and timeouts of a host use `Clock.monotonicMs`, so this clock has to count the
+ * suspended time. The wall clock counts it, but it is also set forward and back by seconds without
+ * a suspension, so it does not prove a suspension by itself.
  */
 
 /** A host with clocks in virtual time that can be suspended. */
--- a/packages/core/src/clock.ts
+++ b/packages/core/src/clock.ts
@@ -7,9 +7,9 @@
 export type CancelTimer = () => void;
 
 /**
- * The only source of time. `monotonicMs` never goes back and is used for all timeouts, leases and ages.
- * `wallMs` is Unix time and is used only for records that people read and for rows whose age another host
- * must judge.
+ * The only source of time. `monotonicMs` never goes back and is used for all timeouts, leases and
+ * ages. `wallMs` is Unix time and is used only for records that people read and for rows whose age
+ * another host must judge.
  */
 export interface Clock {
   monotonicMs(): Milliseconds;
@@ -27,8 +27,8 @@
   /** Unix time, which may be set forward and back. */
   readonly wallMs: () => Milliseconds;
   /**
-   * Never goes back, and advances while the host is suspended. Returns undefined if the clock cannot be read, or
-   * not yet.
+   * Never goes back, and advances while the host is suspended. Returns undefined if the clock
+   * cannot be read, or not yet.
    */
   readonly bootMs: () => Milliseconds | undefined;
 }
@@ -39,11 +39,15 @@
   bootMs: readBootClock,
 };
 
-/** Upper bound of the difference between two clocks that are read one after the other without a suspension. */
+/**
+ * Upper bound of the difference between two clocks that are read one after the other without a
+ * suspension.
+ */
 const CLOCK_NOISE_MS: Milliseconds = 20;
 /**
- * The boot clock is read at least this often, because a simultaneous step of the wall clock can hide a suspension.
- * It is not read each time, because a read takes 1.6 us, ten times as long as a read of the wall clock.
+ * The boot clock is read at least this often, because a simultaneous step of the wall clock can
+ * hide a suspension. It is not read each time, because a read takes 1.6 us, ten times as long as a
+ * read of the wall clock.
  */
 const BOOT_CLOCK_CHECK_PERIOD_MS: Milliseconds = 500;
 
@@ -54,10 +58,11 @@
 }
 
 /**
- * The clock of the operating system. The steady clock does not advance while the host is suspended, so a lease
- * measured by it would last longer by the time of the suspension. `monotonicMs` therefore adds the suspended time.
- * A changed offset between the wall clock and the steady clock indicates a possible suspension. As the wall clock
- * can also be set, the boot clock determines how long the suspension was.
+ * The clock of the operating system. The steady clock does not advance while the host is suspended,
+ * so a lease measured by it would last longer by the time of the suspension. `monotonicMs`
+ * therefore adds the suspended time. A changed offset between the wall clock and the steady clock
+ * indicates a possible suspension. As the wall clock can also be set, the boot clock determines how
+ * long the suspension was.
  */
 export class SystemClock implements Clock {
   readonly #timers = new Set<Timer>();
@@ -126,8 +131,8 @@
   }
 
   /**
-   * Returns undefined if the boot clock is not available, or if reading it took too long: a process that is stopped
-   * between two reads must not mistake this for a suspension.
+   * Returns undefined if the boot clock is not available, or if reading it took too long: a process
+   * that is stopped between two reads must not mistake this for a suspension.
    */
   #readBootOffset(): Milliseconds | undefined {
     const { steadyMs, bootMs } = this.sources;
@@ -137,7 +142,10 @@
     return readMs === undefined || tookMs > CLOCK_NOISE_MS ? undefined : readMs - beforeMs;
   }
 
-  /** Reschedules all timers, as the timers of the operating system do not advance during a suspension either. */
+  /**
+   * Reschedules all timers, as the timers of the operating system do not advance during a
+   * suspension either.
+   */
   #rescheduleTimers(): void {
     const nowMs = this.sources.steadyMs() + this.#suspendedMs;
     for (const timer of this.#timers) {
--- a/packages/core/src/identifiers.ts
+++ b/packages/core/src/identifiers.ts
@@ -34,8 +34,9 @@
 }
 
 /**
- * Creates a request identifier, `HOST.TIME36.RANDOM`. It contains the host that decides about the request and the
- * wall time in milliseconds (base 36), so that the decisions can be found without an index.
+ * Creates a request identifier, `HOST.TIME36.RANDOM`. It contains the host that decides about the
+ * request and the wall time in milliseconds (base 36), so that the decisions can be found without
+ * an index.
  */
 export function newRequestId(host: string, wallMs: number): string {
   return `${host}.${Math.floor(wallMs).toString(36)}.${randomId()}`;
--- a/packages/fleet/src/evaluate-split.ts
+++ b/packages/fleet/src/evaluate-split.ts
@@ -28,13 +28,14 @@
 /**
  * A first event expected within this share of its latency target is early enough, so fewer engines
  * are used and the others stay free for requests that arrive meanwhile. The rest of the target
- * absorbs estimation errors. In simulated random deployments 0.5 and 0.9 gave worse results.
+ * absorbs estimation errors. Shares of 0.5 and 0.9 give worse results in simulated random
+ * deployments.
  */
 export const EARLY_SHARE = 0.7;
 
 /**
  * Share of a part's time by which it may overrun its estimate because of requests sent to the same
- * engines meanwhile. In benchmark runs nine in ten long prompts stayed within 0.016.
+ * engines meanwhile. Nine in ten long prompts overrun by at most 0.016 in benchmark runs.
  */
 const OVERRUN_SHARE = 0.05;
 
--- a/packages/fleet/src/fleet-view.test.ts
+++ b/packages/fleet/src/fleet-view.test.ts
@@ -124,7 +124,8 @@
     );
   });
 
-  // Per decision 0.22 ms with the cache and 2.6 ms without it, beside other processes.
+  // A decision takes 0.22 ms with the cache and 2.6 ms without it, on a host that runs other
+  // processes too.
   it('returns the loads of 720 engines in less than a third of the time of a full computation', () => {
     const servers = Array.from({ length: 720 }, (_unused, index) => server(index));
     const fleet = new FleetView();
--- a/packages/fleet/src/fleet-view.ts
+++ b/packages/fleet/src/fleet-view.ts
@@ -41,8 +41,8 @@
   /**
    * By engine id. A load is recomputed only if an attempt has begun or ended on the engine or a
    * prefill is running. With 720 engines of about four writers each, one of which has changed, all
-   * loads take 0.22 ms instead of 2.6 ms (mean of 400 rounds beside other processes;
-   * fleet-view.test.ts compares both).
+   * loads take 0.22 ms instead of 2.6 ms on a host that runs other processes too (mean of 400
+   * rounds; fleet-view.test.ts compares both).
    */
   readonly #cachedLoads = new Map<string, CachedLoad>();
   /** Servers that failed recently. */
--- a/packages/fleet/src/late-prompts.ts
+++ b/packages/fleet/src/late-prompts.ts
@@ -41,10 +41,10 @@
  * most often and take about 70 s of engine time each: that of ten prompts of usual length, which
  * would become late too.
  *
- * Share of the value earned in emulated days with alternating short and long prompts, when all late
- * prompts start and with this policy (mean of eight seeds each): 60 engines at the usual load 0.986
- * and 0.986, at 1.6 times that 0.850 and 0.903; 18 engines at the usual load 0.959 and 0.962, at
- * 1.25 times 0.914 and 0.914, at 1.6 times 0.598 and 0.658.
+ * Share of the maximum value that is earned if all late prompts start, and with this policy, in
+ * simulations with alternating phases of short and long prompts (mean of eight seeds each): with 60
+ * engines 0.986 and 0.986 at the usual load, 0.850 and 0.903 at 1.6 times that; with 18 engines
+ * 0.959 and 0.962 at the usual load, 0.914 and 0.914 at 1.25 times, 0.598 and 0.658 at 1.6 times.
  *
  * A prompt that an engine has already partly run is started anyway, as the work spent on it would
  * be lost.
--- a/packages/fleet/src/permit-buckets.test.ts
+++ b/packages/fleet/src/permit-buckets.test.ts
@@ -43,7 +43,7 @@
     expect(tryGrant(1000)).toBe(true);
   });
 
-  it('saves up no permits as a substitute that is needed only now and then', () => {
+  it('saves up no permits as a standby that is needed only now and then', () => {
     const { tryGrant } = bucketsWithLimit(2);
     expect(tryGrant(0, STAND_IN)).toBe(false);
     expect(tryGrant(10_000, STAND_IN)).toBe(false);
--- a/packages/fleet/src/permit-buckets.ts
+++ b/packages/fleet/src/permit-buckets.ts
@@ -4,8 +4,9 @@
 import type { ServerLimits } from './server-limits.js';
 
 /**
- * The role in which a host grants permits: as the first planner in rank (`first`), in place of one
- * that is unresponsive (`stand_in`), or only for itself because it reaches no planner (`alone`).
+ * The role in which a host grants permits: as the first planner in rank (`first`), as standby of
+ * one that is unresponsive (`stand_in`), or only for itself because it reaches no planner
+ * (`alone`).
  */
 export type LimitRole = (typeof LIMIT_ROLES)[number];
 
@@ -34,8 +35,8 @@
  */
 const BURST_MS: Milliseconds = 250;
 /**
- * A bucket of another role than `first` is discarded if it is unused for this long, so that a host
- * that substitutes only now and then starts empty each time.
+ * A bucket of another role than `first` is discarded if it is unused for this long, so that a
+ * standby that is needed only now and then starts empty each time.
  */
 const BUCKET_EXPIRY_MS: Milliseconds = 3000;
 /** Period for which `recentlyGranted` counts permits. */
--- a/packages/fleet/src/quarantine-simulation.test.ts
+++ b/packages/fleet/src/quarantine-simulation.test.ts
@@ -272,8 +272,8 @@
 }
 
 describe('Quarantine in simulated days', () => {
-  // In 720 simulated days, 15 of 1,008,000 regular requests were held within 3 s of a third
-  // termination, and none runsAfter.
+  // In 720 simulated days, 15 of 1,008,000 regular requests are held within 3 s of a third
+  // termination, and none later.
   it('holds regular requests for at most 3 s, and at most 1 in 10,000 of them at all', () => {
     let regular = 0;
     let held = 0;
--- a/packages/fleet/src/quarantine.ts
+++ b/packages/fleet/src/quarantine.ts
@@ -47,8 +47,8 @@
 /**
  * Number of consecutive terminations after which a request is quarantined. In 720 simulated days of
  * terminations, connection resets and rolling releases, including the loss of whole services at
- * once, 15 of 1,008,000 regular requests reached three, and none was refused for longer than 3 s
- * (see the simulation in the tests).
+ * once, 15 of 1,008,000 regular requests reach three, and none is refused for longer than 3 s (see
+ * quarantine-simulation.test.ts).
  */
 export const MAX_TERMINATIONS = 3;
 /**
--- a/packages/fleet/src/recent-rejections.ts
+++ b/packages/fleet/src/recent-rejections.ts
@@ -10,9 +10,9 @@
  * Servers that recently rejected a request of this host. They may still serve many others, so they
  * are not avoided in general; only a request that was rejected once and has one attempt left goes
  * to another server. In simulations in which a quarter of the engines, and later more, reject all
- * requests, this earns 0.86 instead of 0.83 and 0.81 instead of 0.79 of a day's value (two
- * deployments, one day each, equal seeds). Avoiding such servers for all requests gains more there,
- * but costs as much if servers reject half of their requests.
+ * requests, this earns 0.86 instead of 0.83, and 0.81 instead of 0.79, of the maximum value (two
+ * deployments, one simulated day each, equal seeds). Avoiding such servers for all requests gains
+ * more there, but costs as much if servers reject half of their requests.
  */
 export class RecentRejections {
   readonly #rejectedAtMs = new Map<string, Milliseconds>();
--- a/packages/hashing/src/prefix-chain.ts
+++ b/packages/hashing/src/prefix-chain.ts
@@ -52,8 +52,8 @@
 }
 
 /**
- * Splits `text` into parts of at most `maxTokens` tokens, but at least one block. Each part except the last is a
- * whole number of blocks.
+ * Splits `text` into parts of at most `maxTokens` tokens, but at least one block. Each part except
+ * the last is a whole number of blocks.
  */
 export function splitAtBlocks(text: string, maxTokens: number): readonly string[] {
   const blocks = Math.max(1, Math.floor(maxTokens / BLOCK_TOKENS));
--- a/packages/hashing/src/rendezvous.ts
+++ b/packages/hashing/src/rendezvous.ts
@@ -14,8 +14,9 @@
 }
 
 /**
- * Sorts items in rendezvous order for `key`. The order is the same on every host, and if an item is added or
- * removed the others keep their order. Highest-random-weight hashing (Thaler and Ravishankar, 1998).
+ * Sorts items in rendezvous order for `key`. The order is the same on every host, and if an item is
+ * added or removed the others keep their order. Highest-random-weight hashing (Thaler and
+ * Ravishankar, 1998).
  */
 export function rendezvousOrder<Item>(
   key: string,
--- a/packages/objects/src/configuration.ts
+++ b/packages/objects/src/configuration.ts
@@ -115,8 +115,8 @@
   }
 
   /**
-   * Returns the configuration after `changes`; their highest revision becomes its revision. A change that is not
-   * newer than the object's revision has no effect.
+   * Returns the configuration after `changes`; their highest revision becomes its revision. A
+   * change that is not newer than the object's revision has no effect.
    */
   advance(changes: readonly ObjectChange[]): Configuration {
     const objects = new Map(this.objects);
--- a/packages/objects/src/kinds.ts
+++ b/packages/objects/src/kinds.ts
@@ -6,16 +6,25 @@
 const positive = z.number().positive();
 const tokens = z.int().positive();
 
-/** A token budget, kept as a bucket: its refill rate in cost units per second, and its capacity in cost units. */
+/**
+ * A token budget, kept as a bucket: its refill rate in cost units per second, and its capacity in
+ * cost units.
+ */
 const budgetSchema = z.strictObject({ unitsPerSecond: positive, burstUnits: positive });
 
 const poolSpec = z.strictObject({
   /** Selects the backend servers of the pool. */
   members: selectorSchema,
-  /** Maximum share of the pool's engines that prompts too large for one engine may occupy at the same time. */
+  /**
+   * Maximum share of the pool's engines that prompts too large for one engine may occupy at the
+   * same time.
+   */
   groupShare: z.number().min(0).max(1).default(0.5),
   budget: budgetSchema.optional(),
-  /** Number of models that one engine can hold. If more are configured, demand decides which are loaded. */
+  /**
+   * Number of models that one engine can hold. If more are configured, demand decides which are
+   * loaded.
+   */
   modelsPerEngine: z.int().positive().default(4),
   /** Number of engines reserved for short or for long work; the others accept any. */
   roles: z
--- a/packages/objects/src/resolve.ts
+++ b/packages/objects/src/resolve.ts
@@ -4,7 +4,10 @@
 
 /** The properties of a request that determine its class, rule and pools. */
 export interface Traffic {
-  /** Labels of the caller and of its workspace, and the labels `workspace`, `user`, `model`, `service`. */
+  /**
+   * Labels of the caller and of its workspace, and the labels `workspace`, `user`, `model`,
+   * `service`.
+   */
   readonly labels: Labels;
   readonly promptTokens: number;
 }
@@ -35,7 +38,10 @@
   );
 }
 
-/** Returns the class of a request. If several match: the one with the most selector terms, then by name. */
+/**
+ * Returns the class of a request. If several match: the one with the most selector terms, then by
+ * name.
+ */
 export function resolveClass(
   configuration: Configuration,
   traffic: Traffic,
@@ -51,9 +57,9 @@
 }
 
 /**
- * Returns the class, rule and pools of a request, or undefined if no rule matches. If several rules match, the order
- * is: higher precedence, then more selector terms, then name. Rules can select by the label `class`, the name of the
- * request's class.
+ * Returns the class, rule and pools of a request, or undefined if no rule matches. If several rules
+ * match, the order is: higher precedence, then more selector terms, then name. Rules can select by
+ * the label `class`, the name of the request's class.
  */
 export function resolveTraffic(
   configuration: Configuration,
--- a/packages/objects/src/selector.ts
+++ b/packages/objects/src/selector.ts
@@ -102,7 +102,10 @@
   return parsed.success ? parsed.data : undefined;
 }
 
-/** Whether no labels can match the selector because two of its terms on the same key contradict each other. */
+/**
+ * Whether no labels can match the selector because two of its terms on the same key contradict each
+ * other.
+ */
 export function isUnsatisfiable(selector: Selector): boolean {
   return selector.some((term, index) =>
     selector
--- a/packages/objects/src/validate.ts
+++ b/packages/objects/src/validate.ts
@@ -20,7 +20,10 @@
   }));
 }
 
-/** Validates all objects. Returns either all of them with defaults filled in, or every invalid field. */
+/**
+ * Validates all objects. Returns either all of them with defaults filled in, or every invalid
+ * field.
+ */
 export function parseObjects(
   values: readonly unknown[],
 ): Result<readonly ConfigObject[], readonly FieldProblem[]> {
--- a/packages/peer/src/link.ts
+++ b/packages/peer/src/link.ts
@@ -11,7 +11,9 @@
   messagesOut: number;
 }
 
-/** Sends a message. Drops it and returns false if the link is not open or its send buffer is full. */
+/**
+ * Sends a message. Drops it and returns false if the link is not open or its send buffer is full.
+ */
 export function sendMessage(
   socket: WebSocket,
   message: unknown,
--- a/packages/peer/src/membership.ts
+++ b/packages/peer/src/membership.ts
@@ -49,8 +49,9 @@
   }
 
   /**
-   * Records an entry that another host has forwarded. Only a newer heartbeat counts, so that hosts do not keep a dead
-   * host alive by forwarding it to each other. Another incarnation counts once the known one is suspect.
+   * Records an entry that another host has forwarded. Only a newer heartbeat counts, so that hosts
+   * do not keep a dead host alive by forwarding it to each other. Another incarnation counts once
+   * the known one is suspect.
    */
   recordGossip({ member, beat }: MemberGossip): void {
     const known = this.#entries.get(member.host);
@@ -66,14 +67,18 @@
     this.#entries.set(member.host, { member, beat, lastHeardAtMs: this.clock.monotonicMs() });
   }
 
-  /** A removed incarnation is added again only with a newer heartbeat than the one it was removed with. */
+  /**
+   * A removed incarnation is added again only with a newer heartbeat than the one it was removed
+   * with.
+   */
   #isStale(member: Member, beat: number): boolean {
     return beat <= (this.#lastBeatOfRemoved.get(member.incarnation) ?? -1);
   }
 
   /**
-   * Returns gossip about the next `count` members for one receiver, in rotation. Each receiver has its own position:
-   * with a common one, 11 members and 11 links, each receiver would always get the same four members.
+   * Returns gossip about the next `count` members for one receiver, in rotation. Each receiver has
+   * its own position: with a common one, 11 members and 11 links, each receiver would always get
+   * the same four members.
    */
   nextGossip(receiver: string, count: number): readonly MemberGossip[] {
     const all = [...this.#entries.values()];
--- a/packages/peer/src/mesh.test.ts
+++ b/packages/peer/src/mesh.test.ts
@@ -56,7 +56,10 @@
   return `${mesh.settings.self.host}: linked ${links.join(' ')}; silent for ms ${known.join(', ')}`;
 }
 
-/** Waits until each host knows `count` others. The error lists the known members and the longest process pause. */
+/**
+ * Waits until each host knows `count` others. The error lists the known members and the longest
+ * process pause.
+ */
 async function waitUntilAllKnow(all: readonly PeerMesh[], count: number): Promise<void> {
   const stalls = monitorEventLoopDelay({ resolution: 10 });
   stalls.enable();
@@ -115,13 +118,13 @@
   });
 
   /*
-   * Guards against a permanent partition: if hosts with enough links dial no seeds, hosts that are linked among
-   * themselves and have lost all others never find them again. Under CPU load, some of twelve hosts then do not
-   * know all others within 5 s.
+   * Guards against a permanent partition: if hosts with enough links dial no seeds, hosts that are
+   * linked among themselves and have lost all others never find them again. Under CPU load, some of
+   * twelve hosts then do not know all others within 5 s.
    */
   it('connects hosts that have enough links among themselves to a seed that they do not know', async () => {
-    const port = await listenOnFreePort();
-    const seed = port.url.replace('http:', 'ws:');
+    const seedServer = await listenOnFreePort();
+    const seed = seedServer.url.replace('http:', 'ws:');
     const firstIsolated = await startMesh('h01', [seed], 2);
     const seedsOfIsolated = [seed, firstIsolated.settings.self.peerUrl];
     const isolated = [
@@ -130,7 +133,7 @@
       await startMesh('h03', seedsOfIsolated, 2),
     ];
     await waitUntil(() => isolated.every((mesh) => mesh.linked().length === 2));
-    const first = startMeshAt(port, 'h00', [], 2);
+    const first = startMeshAt(seedServer, 'h00', [], 2);
     const late = [await startMesh('h04', [seed], 2), await startMesh('h05', [seed], 2)];
     await waitUntil(() =>
       [first, ...isolated, ...late].every((mesh) => mesh.members().length === 5),
--- a/packages/peer/src/mesh.ts
+++ b/packages/peer/src/mesh.ts
@@ -33,8 +33,9 @@
 const MAX_MESSAGE_BYTES = 16_000_000;
 const HEARTBEAT_KIND = 'heartbeat';
 /**
- * A host that has enough links still dials unknown seeds once in so many heartbeats. Otherwise hosts that are linked
- * among themselves and have lost all others would stay partitioned for ever.
+ * A host that has enough links still dials unknown seeds at every heartbeat whose number is a
+ * multiple of this. Otherwise hosts that are linked among themselves and have lost all others would
+ * stay partitioned forever.
  */
 const SEED_DIAL_PERIOD_HEARTBEATS = 60;
 /** Number of members in the gossip of one heartbeat. */
@@ -208,8 +209,9 @@
   }
 
   /**
-   * Whether `link` is a duplicate that is to be closed. Of two links to the same incarnation of a host, the link that
-   * the host with the lesser name dialled is kept. Links to other incarnations of the host are terminated.
+   * Whether `link` is a duplicate that is to be closed. Of two links to the same incarnation of a
+   * host, the link that the host with the lesser name dialled is kept. Links to other incarnations
+   * of the host are terminated.
    */
   #isDuplicate(link: Link, member: Member): boolean {
     const keepsOwnDialledLink = this.settings.self.host < member.host;
--- a/packages/peer/src/messages.ts
+++ b/packages/peer/src/messages.ts
@@ -23,7 +23,10 @@
 /** The first message on a link: the sender and all members that it knows. */
 export const helloSchema = z.object({ self: gossipSchema, others: z.array(gossipSchema) });
 
-/** Sent to each linked peer in each heartbeat period, with gossip about a few other members in rotation. */
+/**
+ * Sent to each linked peer in each heartbeat period, with gossip about a few other members in
+ * rotation.
+ */
 export const heartbeatSchema = z.object({
   beat: z.int().nonnegative(),
   news: z.array(gossipSchema),
--- a/packages/policy/src/engine-load.ts
+++ b/packages/policy/src/engine-load.ts
@@ -73,7 +73,10 @@
   models: {},
 };
 
-/** The load of one engine: its last report, corrected by the dispatches of this host that it does not include. */
+/**
+ * The load of one engine: its last report, corrected by the dispatches of this host that it does
+ * not include.
+ */
 export class EngineLoad {
   #report: LoadReport | undefined;
   #reportAtMs: Milliseconds = 0;
--- a/packages/policy/src/health/server-health.ts
+++ b/packages/policy/src/health/server-health.ts
@@ -6,7 +6,10 @@
 /** A server that asks for a longer backoff is probed with one request after this time. */
 const MAX_BACKOFF_MS = 600_000;
 
-/** `open`: gets full traffic. `set_aside`: ejected or in backoff, gets none. `probing`: gets one request at a time. */
+/**
+ * `open`: gets full traffic. `set_aside`: ejected or in backoff, gets none. `probing`: gets one
+ * request at a time.
+ */
 export type HealthState = 'open' | 'set_aside' | 'probing';
 
 /**
@@ -36,8 +39,8 @@
   }
 
   /**
-   * The server asks for no requests for `forMs`. Responses to requests that were sent before do not end the backoff.
-   * After the backoff, the server gets one request at a time until one is served.
+   * The server asks for no requests for `forMs`. Responses to requests that were sent before do not
+   * end the backoff. After the backoff, the server gets one request at a time until one is served.
    */
   onBackoffRequested(forMs: Milliseconds, nowMs: Milliseconds): void {
     this.#backoffUntilMs = Math.max(this.#backoffUntilMs, nowMs + Math.min(forMs, MAX_BACKOFF_MS));
@@ -67,7 +70,10 @@
     this.#isProbeInFlight = false;
   }
 
-  /** Records a failed attempt. Returns true if the server is ejected by it and was not ejected before. */
+  /**
+   * Records a failed attempt. Returns true if the server is ejected by it and was not ejected
+   * before.
+   */
   onFailure(nowMs: Milliseconds): boolean {
     this.#consecutiveFailures += 1;
     const wasProbe = this.#isProbeInFlight;
--- a/packages/policy/src/lanes/lanes.ts
+++ b/packages/policy/src/lanes/lanes.ts
@@ -1,6 +1,8 @@
 import type { SizeBucket } from './size-histogram.js';
 
-/** The size above which a request is long, and the fraction of engines reserved for short requests. */
+/**
+ * The size above which a request is long, and the fraction of engines reserved for short requests.
+ */
 export interface LaneSplit {
   /** A request with more work than this is long, in tokens. Infinite if there is only one lane. */
   readonly cutOffTokens: number;
@@ -18,7 +20,9 @@
 const SPLIT_STEPS = 40;
 const MIN_SHORT_SHARE = 0.1;
 const MAX_SHORT_SHARE = 0.9;
-/** A lane with at least this utilization counts as overloaded: its predicted slowdown is infinite. */
+/**
+ * A lane with at least this utilization counts as overloaded: its predicted slowdown is infinite.
+ */
 const MAX_UTILIZATION = 0.98;
 /** Splits are evaluated at this utilization if the measured one is lower. */
 const MIN_ASSUMED_UTILIZATION = 0.7;
--- a/packages/policy/src/limits/budgets.ts
+++ b/packages/policy/src/limits/budgets.ts
@@ -4,7 +4,10 @@
 import { Result } from 'true-myth';
 import { TokenBucket } from './token-bucket.js';
 
-/** A budget that applies to a request; its id is `workspace/NAME`, `user/WORKSPACE/USER` or `pool/NAME`. */
+/**
+ * A budget that applies to a request; its id is `workspace/NAME`, `user/WORKSPACE/USER` or
+ * `pool/NAME`.
+ */
 export interface AppliedBudget {
   readonly id: string;
   readonly budget: Budget;
@@ -22,7 +25,10 @@
 const MIN_RETRY_AFTER_MS = 100;
 const FALLBACK_RETRY_AFTER_MS = 5000;
 
-/** Token buckets for the budgets of users, workspaces and pools, each scaled to this host's share of the budget. */
+/**
+ * Token buckets for the budgets of users, workspaces and pools, each scaled to this host's share of
+ * the budget.
+ */
 export class Budgets {
   readonly #buckets = new Map<string, TokenBucket>();
 
@@ -44,7 +50,9 @@
     return bucket;
   }
 
-  /** Charges all budgets or none. The fault names the first budget that does not cover the units. */
+  /**
+   * Charges all budgets or none. The fault names the first budget that does not cover the units.
+   */
   charge(
     budgets: readonly AppliedBudget[],
     units: number,
@@ -70,7 +78,9 @@
     }
   }
 
-  /** Units that this host can spend now; negative after requests that cost more than was charged. */
+  /**
+   * Units that this host can spend now; negative after requests that cost more than was charged.
+   */
   available(applied: AppliedBudget, nowMs: Milliseconds): number {
     return this.#bucketFor(applied, nowMs).available(nowMs);
   }
--- a/packages/policy/src/limits/demand-rate.ts
+++ b/packages/policy/src/limits/demand-rate.ts
@@ -2,7 +2,10 @@
 
 const MS_PER_SECOND = 1000;
 
-/** Recent demand in units per second, with exponential decay: the weight of a value halves every `halfLifeMs`. */
+/**
+ * Recent demand in units per second, with exponential decay: the weight of a value halves every
+ * `halfLifeMs`.
+ */
 export class DemandRate {
   #units = 0;
   #updatedAtMs: Milliseconds;
--- a/packages/policy/src/limits/share-split.ts
+++ b/packages/policy/src/limits/share-split.ts
@@ -8,7 +8,9 @@
 /** Smaller shares are not worth a transfer. */
 export const MIN_TRANSFER_SHARE = 0.01;
 
-/** A host aims to hold this multiple of its demand, so that it need not request more again at once. */
+/**
+ * A host aims to hold this multiple of its demand, so that it need not request more again at once.
+ */
 const HEADROOM_FACTOR = 1.25;
 
 /**
@@ -31,7 +33,10 @@
   return transferred < MIN_TRANSFER_SHARE ? 0 : transferred;
 }
 
-/** Additional share of a budget that a host requests, to cover its demand and one request of `units`. */
+/**
+ * Additional share of a budget that a host requests, to cover its demand and one request of
+ * `units`.
+ */
 export function shareToRequest(current: ShareDemand, units: number, burstUnits: number): number {
   const target = Math.max(current.demand * HEADROOM_FACTOR, (units * HEADROOM_FACTOR) / burstUnits);
   return Math.max(0, Math.min(1, target) - current.share);
--- a/packages/policy/src/limits/token-bucket.ts
+++ b/packages/policy/src/limits/token-bucket.ts
@@ -37,7 +37,10 @@
     return this.available(nowMs) >= units;
   }
 
-  /** Deducts units without a check of the balance. A negative value refunds them, up to the capacity. */
+  /**
+   * Deducts units without a check of the balance. A negative value refunds them, up to the
+   * capacity.
+   */
   take(units: number, nowMs: Milliseconds): void {
     this.#units = Math.min(this.size.burstUnits, this.available(nowMs) - units);
   }
--- a/packages/policy/src/placement/group-plan.ts
+++ b/packages/policy/src/placement/group-plan.ts
@@ -3,7 +3,10 @@
 /** One engine's part of a prompt that exceeds the KV memory of a single engine. */
 export interface GroupPart {
   readonly engineId: string;
-  /** Tokens to reserve; a whole number of blocks except for the last part, which includes the output. */
+  /**
+   * Tokens to reserve; a whole number of blocks except for the last part, which includes the
+   * output.
+   */
   readonly tokens: number;
 }
 
--- a/packages/policy/src/placement/predicted-start.ts
+++ b/packages/policy/src/placement/predicted-start.ts
@@ -12,18 +12,26 @@
 export interface PredictedStartSettings {
   /** Reserves some engines for short requests. */
   readonly useLanes: boolean;
-  /** Keeps a request at this host while every engine has more than `bindWithinMs` of work queued ahead of it. */
+  /**
+   * Keeps a request at this host while every engine has more than `bindWithinMs` of work queued
+   * ahead of it.
+   */
   readonly useLateBinding: boolean;
   /** Takes prefix cache hints into account. */
   readonly useAffinity: boolean;
   readonly bindWithinMs: Milliseconds;
-  /** Number of randomly sampled engines that are compared; sampling keeps hosts from all picking the same one. */
+  /**
+   * Number of randomly sampled engines that are compared; sampling keeps hosts from all picking the
+   * same one.
+   */
   readonly randomChoices: number;
   /** Cost of using an engine outside this host's availability zone. */
   readonly otherZoneMs: Milliseconds;
   /** Duration of one engine step with a full chunk; new work waits for the running step to end. */
   readonly stepMs: Milliseconds;
-  /** Fraction of an engine's KV memory that placement keeps free for the actual size of sequences. */
+  /**
+   * Fraction of an engine's KV memory that placement keeps free for the actual size of sequences.
+   */
   readonly memoryMargin: number;
 }
 
@@ -39,7 +47,10 @@
   memoryMargin: 0.02,
 };
 
-/** Time that each running sequence adds to a step; spreads short requests over otherwise equal engines. */
+/**
+ * Time that each running sequence adds to a step; spreads short requests over otherwise equal
+ * engines.
+ */
 const RUNNING_SEQUENCE_STEP_MS = 0.05;
 
 interface ScoredEngine {
@@ -74,7 +85,9 @@
     return { kind: 'wait', why };
   }
 
-  /** Engines of each lane, in order of preference. Long requests are never placed in the short lane. */
+  /**
+   * Engines of each lane, in order of preference. Long requests are never placed in the short lane.
+   */
   #lanesInOrder(
     job: PlacementJob,
     engines: readonly EngineState[],
--- a/packages/policy/src/prefix-index.ts
+++ b/packages/policy/src/prefix-index.ts
@@ -21,7 +21,10 @@
     return this.#blocks.size;
   }
 
-  /** Applies one event. Returns false at a sequence gap; the index is then empty until the next full list. */
+  /**
+   * Applies one event. Returns false at a sequence gap; the index is then empty until the next full
+   * list.
+   */
   apply(event: CacheEvent): boolean {
     if ('all' in event) {
       this.#blocks = new Set(event.all);
@@ -43,7 +46,10 @@
     this.#sequence = undefined;
   }
 
-  /** Leading prompt tokens that the engine probably has cached; `chain` holds the chain values of the prompt's blocks. */
+  /**
+   * Leading prompt tokens that the engine probably has cached; `chain` holds the chain hashes of
+   * the prompt's blocks.
+   */
   cachedTokens(chain: readonly string[]): number {
     let matched = 0;
     while (matched < chain.length && this.#blocks.has(chain[matched] ?? '')) matched += 1;
--- a/packages/policy/src/random-source.ts
+++ b/packages/policy/src/random-source.ts
@@ -8,7 +8,10 @@
   return items[Math.floor(random.next() * items.length)];
 }
 
-/** Picks `count` different items at random, in random order; returns all of them as they are if there are no more. */
+/**
+ * Picks `count` different items at random, in random order; returns all of them as they are if
+ * there are no more.
+ */
 export function pickSome<Item>(
   items: readonly Item[],
   count: number,
--- a/packages/policy/src/waiting/wait-queue.ts
+++ b/packages/policy/src/waiting/wait-queue.ts
@@ -74,7 +74,9 @@
     return { isQueued: true, displaced: victims.map((victim) => victim.item) };
   }
 
-  /** Entries of lower priority that must be displaced for `entry`; undefined if that is not enough. */
+  /**
+   * Entries of lower priority that must be displaced for `entry`; undefined if that is not enough.
+   */
   #selectVictims(entry: WaitingEntry<Item>): readonly QueuedEntry<Item>[] | undefined {
     let excessTokens =
       (this.#tokensByRule.get(entry.rule) ?? 0) + entry.tokens - entry.maxQueuedTokens;
--- a/packages/settings/src/program.ts
+++ b/packages/settings/src/program.ts
@@ -21,7 +21,9 @@
   readonly path?: readonly string[];
   readonly description: string;
   readonly shape: Shape;
-  /** Resolves to the exit code, or to a message why the program cannot start with these settings. */
+  /**
+   * Resolves to the exit code, or to a message why the program cannot start with these settings.
+   */
   readonly main: (settings: z.infer<z.ZodObject<Shape>>) => Promise<number | string>;
 }): ProgramCommand {
   return {
@@ -81,7 +83,9 @@
   return line ?? 'failed';
 }
 
-/** Returns a one-line error for the first flag that no command knows, or undefined if there is none. */
+/**
+ * Returns a one-line error for the first flag that no command knows, or undefined if there is none.
+ */
 function findUnknownFlag(
   args: readonly string[],
   commands: readonly ProgramCommand[],
--- a/packages/settings/src/schemas.ts
+++ b/packages/settings/src/schemas.ts
@@ -8,12 +8,14 @@
 /** A duration in milliseconds. */
 export const millisecondsSetting = z.coerce.number<string>().positive();
 
-/** Cap of durations: longer than any process runs, and below the limit of timers, which is 24 days. */
+/**
+ * Cap of durations: longer than any process runs, and below the limit of timers, which is 24 days.
+ */
 const MAX_DURATION_MS = 24 * 60 * 60 * 1000;
 
 /**
- * A duration in milliseconds that a deployment sets. Fractions and zero are accepted; a duration of more
- * than a day is reduced to one day.
+ * A duration in milliseconds that a deployment sets. Fractions and zero are accepted; a duration of
+ * more than a day is reduced to one day.
  */
 export const cappedDurationSetting = z.coerce
   .number<string>()
@@ -32,7 +34,10 @@
 /** The name of a host, availability zone or region. */
 export const nameSetting = z.string().regex(/^[a-z0-9-]{1,63}$/, 'use a-z, 0-9 and -');
 
-/** The name of a host or availability zone that a deployment assigns by its own rules, with dots or capitals. */
+/**
+ * The name of a host or availability zone that a deployment assigns by its own rules, with dots or
+ * capitals.
+ */
 export const externalNameSetting = z
   .string()
   .regex(/^[\w.:-]{1,200}$/, 'use letters, digits and . : _ -');
--- a/packages/settings/src/settings.ts
+++ b/packages/settings/src/settings.ts
@@ -74,7 +74,10 @@
   return Result.ok(parsed.data);
 }
 
-/** Returns a one-line error for the first unknown `POPPYPOND_` variable, or undefined if there is none. */
+/**
+ * Returns a one-line error for the first unknown `POPPYPOND_` variable, or undefined if there is
+ * none.
+ */
 export function findUnknownVariable(
   known: ReadonlySet<string>,
   environment: Readonly<Record<string, string | undefined>>,
--- a/packages/state/src/config/configuration-holder.ts
+++ b/packages/state/src/config/configuration-holder.ts
@@ -1,7 +1,10 @@
 import { Configuration } from '@poppypond/objects';
 import type { ObjectChange } from '@poppypond/objects';
 
-/** Called after the active configuration has changed; `changes` is undefined if it was replaced as a whole. */
+/**
+ * Called after the active configuration has changed; `changes` is undefined if it was replaced as a
+ * whole.
+ */
 export type ConfigurationListener = (
   configuration: Configuration,
   changes: readonly ObjectChange[] | undefined,
@@ -29,7 +32,8 @@
 
   /**
    * Applies the changes that follow revision `after`. They must be contiguous with the current
-   * revision: `gap` tells the caller to request the missing changes. `old`: all are applied already.
+   * revision: `gap` tells the caller to request the missing changes. `old`: all are applied
+   * already.
    */
   advance(after: number, changes: readonly ObjectChange[]): 'advanced' | 'old' | 'gap' {
     const newChanges = changes.filter((change) => change.revision > this.#current.revision);
--- a/packages/state/src/config/configuration-writer.ts
+++ b/packages/state/src/config/configuration-writer.ts
@@ -20,7 +20,10 @@
   readonly id: string;
   /** Null deletes the object. */
   readonly after: ConfigObject | null;
-  /** Revision that the operator saw, 0 if the object must be new; if absent, any revision is accepted. */
+  /**
+   * Revision that the operator saw, 0 if the object must be new; if absent, any revision is
+   * accepted.
+   */
   readonly expected?: number;
 }
 
@@ -65,7 +68,10 @@
   });
 }
 
-/** Applies changes to the configuration: one transaction writes the objects, the audit row and the head row. */
+/**
+ * Applies changes to the configuration: one transaction writes the objects, the audit row and the
+ * head row.
+ */
 export class ConfigurationWriter {
   constructor(
     readonly table: TableStore,
@@ -202,7 +208,9 @@
   return copy;
 }
 
-/** Creates a write of an object under its `kind/name`; without `expected` it replaces any revision. */
+/**
+ * Creates a write of an object under its `kind/name`; without `expected` it replaces any revision.
+ */
 export function toObjectWrite(object: ConfigObject, expected?: number): ObjectWrite {
   const id = objectId(object);
   return expected === undefined ? { id, after: object } : { id, after: object, expected };
--- a/packages/state/src/config/configuration.test.ts
+++ b/packages/state/src/config/configuration.test.ts
@@ -18,7 +18,10 @@
 
 const IMMEDIATE_SCHEDULER = { schedule: <Value>(task: Promise<Value>) => task };
 
-/** Applies concurrent changes while responses are lost; checks the order of revisions and the accepted changes. */
+/**
+ * Applies concurrent changes while responses are lost; checks the order of revisions and the
+ * accepted changes.
+ */
 function concurrentChangesProperty(makeRows: () => MemoryRows) {
   const fate = fc.constantFrom<CallOutcome>('ok', 'ok', 'ok', 'ok', 'lost', 'down');
   const change = fc.record({
--- a/packages/state/src/decisions/decision-log.ts
+++ b/packages/state/src/decisions/decision-log.ts
@@ -51,7 +51,10 @@
  */
 export class DecisionLog {
   readonly #ring: Decision[] = [];
-  /** Lines that are in no segment yet; serialized when recorded, so that a flush causes no long pause. */
+  /**
+   * Lines that are in no segment yet; serialized when recorded, so that a flush causes no long
+   * pause.
+   */
   #unsaved: string[] = [];
   #unreplicated: Decision[] = [];
   readonly #peerDecisions = new Map<string, Decision[]>();
@@ -87,13 +90,18 @@
     return unreplicated;
   }
 
-  /** Keeps a replica of a peer's newest decisions, for the time until the peer has saved them itself. */
+  /**
+   * Keeps a replica of a peer's newest decisions, for the time until the peer has saved them
+   * itself.
+   */
   storePeerDecisions(host: string, decisions: readonly Decision[]): void {
     const kept = [...(this.#peerDecisions.get(host) ?? []), ...decisions];
     this.#peerDecisions.set(host, kept.slice(-this.ringSize));
   }
 
-  /** Writes the unsaved decisions as one segment; after a failure they are kept for the next flush. */
+  /**
+   * Writes the unsaved decisions as one segment; after a failure they are kept for the next flush.
+   */
   async flush(): Promise<void> {
     if (this.#unsaved.length === 0) return;
     const batch = this.#unsaved;
--- a/packages/state/src/lease/lease.test.ts
+++ b/packages/state/src/lease/lease.test.ts
@@ -15,7 +15,10 @@
   byMs: fc.integer({ min: 0, max: 700 }),
 });
 
-/** Three hosts tick, pause and release in any order; at most one holds the lease, and fencing tokens never decrease. */
+/**
+ * Three hosts tick, pause and release in any order; at most one holds the lease, and fencing tokens
+ * never decrease.
+ */
 function exclusiveHolderProperty(makeRows: () => MemoryRows) {
   return fc.asyncProperty(fc.array(step, { maxLength: 60 }), async (steps) => {
     const rows = makeRows();
@@ -43,7 +46,10 @@
   });
 }
 
-/** Delays each table call before and after it takes effect, so that calls of different hosts overlap. */
+/**
+ * Delays each table call before and after it takes effect, so that calls of different hosts
+ * overlap.
+ */
 function delayCall(clock: ManualClock): Promise<void> {
   return new Promise((resolve) => {
     clock.after(CALL_MS, resolve);
--- a/packages/state/src/lease/lease.ts
+++ b/packages/state/src/lease/lease.ts
@@ -13,14 +13,17 @@
 
 /** Fraction of the lease duration after which the holder renews. */
 const RENEW_FRACTION = 1 / 3;
-/** Fraction of the lease duration by which the holder stops early, as the hosts' clocks run at different rates. */
+/**
+ * Fraction of the lease duration by which the holder stops early, as the hosts' clocks run at
+ * different rates.
+ */
 const SAFETY_FRACTION = 0.15;
 
 /** A lease that this host holds. */
 export interface HeldLease {
-  /** Fencing token, which increases with each holder; sent with each order. */
+  /** Fencing token, which increases with each holder; sent with each command. */
   readonly fence: number;
-  /** Monotonic time until which orders may be sent. */
+  /** Monotonic time until which commands may be sent. */
   readonly validUntilMs: Milliseconds;
 }
 
@@ -54,13 +57,19 @@
     return this.durationMs * RENEW_FRACTION;
   }
 
-  /** The lease, if this host holds it and an order sent now would still be in time; otherwise undefined. */
+  /**
+   * The lease, if this host holds it and a command sent now would still be in time; otherwise
+   * undefined.
+   */
   held(): HeldLease | undefined {
     if (!this.#held || this.clock.monotonicMs() >= this.#held.validUntilMs) return undefined;
     return this.#held;
   }
 
-  /** Renews the lease if this host holds it, takes it if it is free or expired, or else keeps observing it. */
+  /**
+   * Renews the lease if this host holds it, takes it if it is free or expired, or else keeps
+   * observing it.
+   */
   async tick(): Promise<void> {
     const row = await this.table.get(this.#key);
     if (row.isErr) return;
--- a/packages/state/src/once/at-most-once-ledger.test.ts
+++ b/packages/state/src/once/at-most-once-ledger.test.ts
@@ -24,7 +24,10 @@
   isRefused: fc.boolean(),
 });
 
-/** Sends calls to three hosts with any order of events, and compares the runs with the outcomes reported to callers. */
+/**
+ * Sends calls to three hosts with any order of events, and compares the runs with the outcomes
+ * reported to callers.
+ */
 function atMostOnceProperty(makeRows: () => MemoryRows) {
   return fc.asyncProperty(
     fc.scheduler(),
--- a/packages/state/src/once/at-most-once-ledger.ts
+++ b/packages/state/src/once/at-most-once-ledger.ts
@@ -58,7 +58,10 @@
 const IN_PROGRESS_RETRY_AFTER_MS = 1000;
 const STORE_RETRY_AFTER_MS = 2000;
 
-/** Row key of a call. The idempotency key is URL-encoded, so that no workspace can address another's rows. */
+/**
+ * Row key of a call. The idempotency key is URL-encoded, so that no workspace can address another's
+ * rows.
+ */
 export function ledgerKey(workspace: string, idempotencyKey: string): string {
   return `${LEDGER_PREFIX}${workspace}/${encodeURIComponent(idempotencyKey)}`;
 }
@@ -83,7 +86,10 @@
     return this.#outcomes.size;
   }
 
-  /** Claims a call before it is dispatched. Every fault except `key_in_progress` means that the call was not run. */
+  /**
+   * Claims a call before it is dispatched. Every fault except `key_in_progress` means that the call
+   * was not run.
+   */
   async claim(
     workspace: string,
     idempotencyKey: string,
@@ -162,7 +168,10 @@
       : Result.err(inProgress());
   }
 
-  /** Waits for the outcome of another request that holds the claim, which is usually stored shortly after. */
+  /**
+   * Waits for the outcome of another request that holds the claim, which is usually stored shortly
+   * after.
+   */
   async #waitForOutcome(
     key: string,
     requestHash: string,
@@ -175,7 +184,10 @@
     return this.#resolveEntry(key, requestHash, entry, row.value, pollsLeft - 1);
   }
 
-  /** Records that the call ran with this response. The record is stored shortly after, with retries until it is. */
+  /**
+   * Records that the call ran with this response. The record is stored shortly after, with retries
+   * until it is.
+   */
   recordRan(claim: Claim, answer: RecordedResponse): void {
     const { claimId, requestHash } = claim;
     const wallMs = this.clock.wallMs();
--- a/packages/state/src/table/platform-connection.ts
+++ b/packages/state/src/table/platform-connection.ts
@@ -20,7 +20,10 @@
     readonly timeoutMs: Milliseconds,
   ) {}
 
-  /** Makes a call. A status that is not in `accepted` is an `unavailable` fault: nothing was changed. */
+  /**
+   * Makes a call. A status that is not in `accepted` is an `unavailable` fault: nothing was
+   * changed.
+   */
   async call(
     call: Omit<HttpCall, 'url' | 'timeoutMs'>,
     path: string,
--- a/packages/state/src/table/table-store.ts
+++ b/packages/state/src/table/table-store.ts
@@ -9,14 +9,19 @@
   readonly value: unknown;
 }
 
-/** An atomic transaction: if all checked rows have the given version, all writes are applied together. */
+/**
+ * An atomic transaction: if all checked rows have the given version, all writes are applied
+ * together.
+ */
 export interface TableTransaction {
   readonly checks?: readonly { readonly key: string; readonly version: number }[];
   readonly puts?: readonly { readonly key: string; readonly value: Json }[];
   readonly deletes?: readonly string[];
 }
 
-/** `applied` with the version of the written rows, or `conflict` with the keys whose check failed. */
+/**
+ * `applied` with the version of the written rows, or `conflict` with the keys whose check failed.
+ */
 export type TransactionResult =
   | { readonly kind: 'applied'; readonly version: number }
   | { readonly kind: 'conflict'; readonly keys: readonly string[] };
--- a/packages/telemetry/src/bounded-output.ts
+++ b/packages/telemetry/src/bounded-output.ts
@@ -4,7 +4,10 @@
 /** Writes `text` and calls `done` when the text was written or the write has failed. */
 export type OutputWrite = (text: string, done: () => void) => void;
 
-/** Importance of a line. Failed or refused requests and state changes are important and dropped last. */
+/**
+ * Importance of a line. Failed or refused requests and state changes are important and dropped
+ * last.
+ */
 export type LineImportance = 'ordinary' | 'important';
 
 /** Limits on the rate of the output and on its buffer. */
@@ -28,7 +31,10 @@
 const ORDINARY_SHARE = 0.7;
 const STANDARD_OUTPUT = 1;
 
-/** Writes to standard output from the thread pool, so that a stalled reader does not block the event loop. */
+/**
+ * Writes to standard output from the thread pool, so that a stalled reader does not block the event
+ * loop.
+ */
 export const writeStandardOutput: OutputWrite = (text, done) => {
   const bytes = Buffer.from(text, 'utf8');
   const writeFrom = (offset: number): void => {
@@ -60,7 +66,10 @@
   constructor(
     readonly clock: Clock,
     readonly write: OutputWrite,
-    /** Formats the line that reports how many lines of each importance were dropped in the last second. */
+    /**
+     * Formats the line that reports how many lines of each importance were dropped in the last
+     * second.
+     */
     readonly formatDroppedLine: (counts: Readonly<Record<string, number>>) => string,
     readonly limits: OutputLimits = DEFAULT_OUTPUT_LIMITS,
   ) {
--- a/packages/telemetry/src/log.ts
+++ b/packages/telemetry/src/log.ts
@@ -29,8 +29,8 @@
 }
 
 /**
- * Formats `key=value` pairs. A value with other characters than letters, digits and `_ . : / @ + -` is quoted, and
- * an undefined one is omitted.
+ * Formats `key=value` pairs. A value with other characters than letters, digits and `_ . : / @ + -`
+ * is quoted, and an undefined one is omitted.
  */
 export function formatFields(fields: LogFields): string {
   const parts: string[] = [];
@@ -40,7 +40,10 @@
   return parts.join(' ');
 }
 
-/** Creates a log that adds `common` to each line. Lines go to standard error unless `write` is given. */
+/**
+ * Creates a log that adds `common` to each line. Lines go to standard error unless `write` is
+ * given.
+ */
 export function createLog(
   common: LogFields,
   level: LogLevel = 'info',
--- a/packages/telemetry/src/metrics.ts
+++ b/packages/telemetry/src/metrics.ts
@@ -60,7 +60,10 @@
   close(): void;
 }
 
-/** Creates metrics that are sent to the StatsD address `HOST:PORT`, or discarded if there is no address. */
+/**
+ * Creates metrics that are sent to the StatsD address `HOST:PORT`, or discarded if there is no
+ * address.
+ */
 export function createMetrics(address: string | undefined, tags: MetricTags): Metrics {
   const [host, port] = address?.split(':') ?? [];
   const client = new StatsD({
--- a/packages/telemetry/src/prometheus-metrics.ts
+++ b/packages/telemetry/src/prometheus-metrics.ts
@@ -6,7 +6,10 @@
   readonly labels: readonly string[];
 }
 
-/** The metrics of a relay, served on its metrics port. Names and labels are stable; see docs/METRICS.md. */
+/**
+ * The metrics of a relay, served on its metrics port. Names and labels are stable; see
+ * docs/METRICS.md.
+ */
 export const PROMETHEUS_METRICS = {
   poppypond_requests_total: {
     type: 'counter',
@@ -132,8 +135,8 @@
 export type PrometheusLabels = Readonly<Record<string, string>>;
 
 /**
- * Upper bounds in milliseconds. They include the values of the latency objectives, so that the share of requests
- * within an objective can be read from a bucket.
+ * Upper bounds in milliseconds. They include the values of the latency objectives, so that the
+ * share of requests within an objective can be read from a bucket.
  */
 const BUCKETS_MS = [5, 10, 25, 50, 100, 150, 200, 300, 500, 800, 1500, 3000, 5000, 10_000, 15_000];
 
--- a/packages/web/src/client.ts
+++ b/packages/web/src/client.ts
@@ -54,7 +54,10 @@
   tlsAgent.destroy();
 }
 
-/** Starts a call and resolves when the headers of the response have arrived; the caller reads its body. */
+/**
+ * Starts a call and resolves when the headers of the response have arrived; the caller reads its
+ * body.
+ */
 export function openHttp(call: HttpCall): Promise<Result<IncomingMessage, TransportFault>> {
   return new Promise((resolve) => {
     let isConnected = false;
--- a/packages/web/src/response.ts
+++ b/packages/web/src/response.ts
@@ -24,7 +24,10 @@
   response.end(text);
 }
 
-/** Returns a fault in the error format that common client libraries parse, extended by our own fields. */
+/**
+ * Returns a fault in the error format that common client libraries parse, extended by our own
+ * fields.
+ */
 export function faultBody(fault: Fault, requestId?: string): { readonly [key: string]: Json } {
   const entry = RESULT_CODES[fault.code];
   return {
--- a/packages/web/src/retry-after.ts
+++ b/packages/web/src/retry-after.ts
@@ -3,7 +3,10 @@
 
 const MS_PER_SECOND = 1000;
 const SECONDS_PATTERN = /^\d+(\.\d+)?$/;
-/** HTTP dates begin with a day of the week; other formats that `Date.parse` accepts are not valid here. */
+/**
+ * HTTP dates begin with a day of the week; other formats that `Date.parse` accepts are not valid
+ * here.
+ */
 const DATE_PATTERN = /^(Mon|Tue|Wed|Thu|Fri|Sat|Sun)[a-z]*,? /;
 
 function parseHttpDate(text: string | undefined): Milliseconds | undefined {
@@ -17,9 +20,10 @@
 }
 
 /**
- * Returns for how long the sender of these headers asks to be sent no requests. `Retry-After` holds seconds (also
- * fractions) or a date. A date is compared with the sender's `Date` header, or with `nowMs` (Unix time) if that is
- * missing. Returns undefined if `Retry-After` is absent, cannot be parsed, or is zero or in the past.
+ * Returns the time for which the sender of these headers asks for no more requests. `Retry-After`
+ * holds seconds (also fractions) or a date. A date is compared with the sender's `Date` header, or
+ * with `nowMs` (Unix time) if that is missing. Returns undefined if `Retry-After` is absent, cannot
+ * be parsed, or is zero or in the past.
  */
 export function readRetryAfter(
   headers: IncomingHttpHeaders,
--- a/packages/web/src/router.ts
+++ b/packages/web/src/router.ts
@@ -11,7 +11,10 @@
   readonly query: URLSearchParams;
 }
 
-/** Handles a request. If it throws or rejects, the response gets status 500 and `onFailure` is called. */
+/**
+ * Handles a request. If it throws or rejects, the response gets status 500 and `onFailure` is
+ * called.
+ */
 export type RouteHandler = (context: RouteContext) => void | Promise<void>;
 
 interface Route {
@@ -45,7 +48,10 @@
 
   constructor(readonly onFailure: (error: unknown) => void = () => undefined) {}
 
-  /** Adds a route. `:name` matches one segment, a final `*` the rest, and the method `ANY` all methods. */
+  /**
+   * Adds a route. `:name` matches one segment, a final `*` the rest, and the method `ANY` all
+   * methods.
+   */
   on(method: string, pattern: string, handler: RouteHandler): this {
     this.#routes.push({ method, parts: pattern.split('/'), handler });
     return this;
@@ -56,7 +62,10 @@
     return this.#routes.map(({ method, parts }) => `${method} ${parts.join('/')}`);
   }
 
-  /** Request listener for an HTTP server: calls the handler of the route, or sends a fault if there is none. */
+  /**
+   * Request listener for an HTTP server: calls the handler of the route, or sends a fault if there
+   * is none.
+   */
   readonly handle = (request: IncomingMessage, response: ServerResponse): void => {
     const [path = '/', query] = (request.url ?? '/').split('?', 2);
     const parts = path.split('/');
--- a/packages/web/src/server-probe.ts
+++ b/packages/web/src/server-probe.ts
@@ -1,16 +1,21 @@
 import type { Clock, Milliseconds } from '@poppypond/core';
 import { connect } from 'node:net';
 
-/** A server that does not accept a connection within this time is skipped; nothing was sent to it. */
+/**
+ * A server that does not accept a connection within this time is skipped; nothing was sent to it.
+ */
 export const CONNECT_TIMEOUT_MS: Milliseconds = 300;
 
 /**
- * Whether a process listens at the address of a server. `refused`: its process has ended. `silent`: its
- * host is gone or cannot be reached.
+ * Whether a process listens at the address of a server. `refused`: its process has ended. `silent`:
+ * its host is gone or cannot be reached.
  */
 export type ProbeResult = 'listening' | 'refused' | 'silent';
 
-/** An overloaded server accepts a connection and resets it; the reset may be reported before the connection. */
+/**
+ * An overloaded server accepts a connection and resets it; the reset may be reported before the
+ * connection.
+ */
 function resultOfError(code: string | undefined): ProbeResult {
   if (code === 'ECONNREFUSED') return 'refused';
   return code === 'ECONNRESET' ? 'listening' : 'silent';
--- a/packages/web/src/server.ts
+++ b/packages/web/src/server.ts
@@ -30,7 +30,10 @@
   return { cert: readFileSync(certificateFile, 'utf8'), key: readFileSync(keyFile, 'utf8') };
 }
 
-/** Reloads changed files. The previous certificate and key stay in use while the new ones do not match. */
+/**
+ * Reloads changed files. The previous certificate and key stay in use while the new ones do not
+ * match.
+ */
 function reloadOnChange(server: TlsServer, files: TlsFiles): NodeJS.Timeout {
   let current = readTls(files);
   const timer = setInterval(() => {
--- a/packages/web/src/tls-files.ts
+++ b/packages/web/src/tls-files.ts
@@ -1,6 +1,9 @@
 import type { TlsFiles } from './server.js';
 
-/** Returns the TLS files in a program's settings, or undefined if none are set. Throws if only one is set. */
+/**
+ * Returns the TLS files in a program's settings, or undefined if none are set. Throws if only one
+ * is set.
+ */
 export function tlsFilesOf(settings: {
   readonly tlsCertificateFile?: string | undefined;
   readonly tlsKeyFile?: string | undefined;
