--- a/packages/core/src/boot-clock.ts
+++ b/packages/core/src/boot-clock.ts
@@ -20,9 +20,9 @@
 }
 
 /**
- * Loads koffi, by which the C library is called. This takes 3 ms and 2 MB, so the start of a host
- * does not wait for it. Resolves to the reason if the clock is not available; suspensions are not
- * detected then.
+ * Loads koffi, through which the C library is called. This takes 3 ms and 2 MB, so the start of a
+ * host does not wait for it. Resolves to the reason if the clock is not available; suspensions are
+ * not detected then.
  */
 export async function loadBootClock(): Promise<string | undefined> {
   if (process.platform !== 'linux') return `CLOCK_BOOTTIME is not available on ${process.platform}`;
--- a/packages/fleet/src/acceptable-interference.test.ts
+++ b/packages/fleet/src/acceptable-interference.test.ts
@@ -14,7 +14,7 @@
 const value = streamValue(demand.promptTokens);
 
 describe('acceptableInterference', () => {
-  it('is 0 at first, and the loss by being late when the target can just be met', () => {
+  it('is 0 at arrival, and the loss by being late at the last start that meets the target', () => {
     const forecast = { expectedFirstMs: 1000, isInTime: true };
     expect(acceptableInterference(demand, forecast)).toBe(0);
     expect(acceptableInterference({ ...demand, waitedMs: 2000 }, forecast)).toBeCloseTo(
@@ -22,7 +22,7 @@
     );
   });
 
-  it('is 0 again when the target is missed, and the cost of waiting in vain just before the caller disconnects', () => {
+  it('is 0 again after the target, and the value of a late answer plus the cost of a vain wait at the last useful start', () => {
     const forecast = { expectedFirstMs: 1000, isInTime: false };
     expect(acceptableInterference({ ...demand, waitedMs: 3000 }, forecast)).toBe(0);
     expect(acceptableInterference({ ...demand, waitedMs: 11_000 }, forecast)).toBeCloseTo(
--- a/packages/fleet/src/engine-load.ts
+++ b/packages/fleet/src/engine-load.ts
@@ -38,8 +38,8 @@
 /** Writers with a shorter gap target than this count as latency-sensitive. */
 const LATENCY_SENSITIVE_GAP_MS: Milliseconds = 300;
 /**
- * The end of a prefill is announced to peers only if it takes at least this long; shorter ones are
- * estimated.
+ * The end of a prefill is announced to peers only if the prefill takes at least this long; the end
+ * of a shorter one is estimated.
  */
 export const MIN_ANNOUNCED_PREFILL_MS: Milliseconds = 60;
 /**
--- a/packages/fleet/src/fleet-view.test.ts
+++ b/packages/fleet/src/fleet-view.test.ts
@@ -62,7 +62,7 @@
     this.#uses.set(added.attemptId, added);
   }
 
-  onReadDone(attemptId: string): void {
+  onPrefillDone(attemptId: string): void {
     const known = this.#uses.get(attemptId);
     if (known?.isPrefilling) this.begin({ ...known, isPrefilling: false });
   }
@@ -102,7 +102,7 @@
           }
           if (kind === 'read') {
             fleet.onPrefillDone(String(attempt));
-            uncached.onReadDone(String(attempt));
+            uncached.onPrefillDone(String(attempt));
           }
           if (kind === 'end') {
             fleet.end(String(attempt));
--- a/packages/fleet/src/permit-buckets.test.ts
+++ b/packages/fleet/src/permit-buckets.test.ts
@@ -35,7 +35,7 @@
     expect(buckets.availablePermits(engineServer('i-2'), FULL, 0)).toBe(Number.POSITIVE_INFINITY);
   });
 
-  it('counts permits that were used without a request', () => {
+  it('counts permits that were used without being requested', () => {
     const { buckets, tryGrant } = bucketsWithLimit(2);
     expect(tryGrant(0)).toBe(false);
     buckets.grant(SERVER, FULL, 0);
--- a/packages/fleet/src/permit-buckets.ts
+++ b/packages/fleet/src/permit-buckets.ts
@@ -21,7 +21,7 @@
 
 interface Bucket {
   readonly server: BackendServer;
-  /** Permits that may be granted; negative if some were used without a request. */
+  /** Permits that may be granted; negative if some were used without being requested. */
   permits: number;
   atMs: Milliseconds;
   /** When permits were granted recently, to report the current usage. */
@@ -62,7 +62,7 @@
     return Math.max(0, Math.floor(this.#refill(server, part, rate, nowMs).permits));
   }
 
-  /** Grants a permit, or counts one that was used without a request. */
+  /** Grants a permit, or counts one that was used without being requested. */
   grant(server: BackendServer, part: LimitPart, nowMs: Milliseconds): void {
     const rate = this.rateOf(server, part, nowMs);
     if (rate === undefined) return;
--- a/packages/fleet/src/server-backoffs.test.ts
+++ b/packages/fleet/src/server-backoffs.test.ts
@@ -18,11 +18,11 @@
           { minLength: 1 },
         ),
         fastCheck.nat(30_000),
-        (backoffsAsked, checkAfterMs) => {
+        (requestedBackoffs, checkAfterMs) => {
           const rests = new ServerBackoffs(noJitter);
           let nowMs = 0;
           let untilMs = 0;
-          for (const { afterMs, forMs } of backoffsAsked) {
+          for (const { afterMs, forMs } of requestedBackoffs) {
             nowMs += afterMs;
             rests.begin(SERVER, forMs, nowMs);
             untilMs = Math.max(untilMs, nowMs + forMs);
--- a/packages/fleet/src/share-memory.ts
+++ b/packages/fleet/src/share-memory.ts
@@ -7,7 +7,9 @@
   readonly tokens: number;
 }
 
-/** Share of an engine's free memory that a large prompt may take; running answers still grow. */
+/**
+ * Share of an engine's free memory that a large prompt may take; running answers there still grow.
+ */
 const MAX_SHARE_OF_FREE = 0.9;
 /** Engines allocate memory in blocks of tokens, so a little more than the exact sum is planned. */
 const BLOCK_ROUNDING_TOKENS = 64;
--- a/packages/settings/src/schemas.ts
+++ b/packages/settings/src/schemas.ts
@@ -14,8 +14,8 @@
 const MAX_DURATION_MS = 24 * 60 * 60 * 1000;
 
 /**
- * A duration in milliseconds that a deployment sets. Fractions and zero are accepted; a duration of
- * more than a day is reduced to one day.
+ * A duration in milliseconds that an installation sets. Fractions and zero are accepted; a duration
+ * of more than a day is reduced to one day.
  */
 export const cappedDurationSetting = z.coerce
   .number<string>()
@@ -35,8 +35,8 @@
 export const nameSetting = z.string().regex(/^[a-z0-9-]{1,63}$/, 'use a-z, 0-9 and -');
 
 /**
- * The name of a host or availability zone that a deployment assigns by its own rules, with dots or
- * capitals.
+ * The name of a host or availability zone that an installation assigns by its own rules, with dots
+ * or capitals.
  */
 export const externalNameSetting = z
   .string()
--- a/packages/state/src/config/configuration.test.ts
+++ b/packages/state/src/config/configuration.test.ts
@@ -23,7 +23,7 @@
  * accepted changes.
  */
 function concurrentChangesProperty(makeRows: () => MemoryRows) {
-  const fate = fc.constantFrom<CallOutcome>('ok', 'ok', 'ok', 'ok', 'lost', 'down');
+  const callOutcome = fc.constantFrom<CallOutcome>('ok', 'ok', 'ok', 'ok', 'lost', 'down');
   const change = fc.record({
     name: fc.constantFrom('a', 'b'),
     weight: fc.integer({ min: 1, max: 99 }),
@@ -32,12 +32,12 @@
   return fc.asyncProperty(
     fc.scheduler(),
     fc.array(change, { minLength: 1, maxLength: 5 }),
-    fc.infiniteStream(fate),
-    async (scheduler, changes, fates) => {
+    fc.infiniteStream(callOutcome),
+    async (scheduler, changes, callOutcomes) => {
       const rows = makeRows();
       const clock = new ScheduledClock(scheduler);
-      const pause = (label: string) => scheduler.schedule(Promise.resolve(), label);
-      const table = new MemoryTable(rows, () => fates.next().value, pause);
+      const yieldAt = (label: string) => scheduler.schedule(Promise.resolve(), label);
+      const table = new MemoryTable(rows, () => callOutcomes.next().value, yieldAt);
       const writer = new ConfigurationWriter(table, clock);
       const reader = new ConfigurationReader(new ConfigurationHolder(), table, clock);
       const seen: number[] = [];
@@ -72,8 +72,8 @@
       expect(seen).toEqual([...seen].sort((a, b) => a - b));
       expect(new Set(accepted.values()).size).toBe(accepted.size);
       const audits = [...rows.rows.keys()].filter((key) => key.startsWith('audit/'));
-      const whole = await readConfiguration(new MemoryTable(rows));
-      expect(whole.isOk && whole.value.revision).toBe(audits.length);
+      const configuration = await readConfiguration(new MemoryTable(rows));
+      expect(configuration.isOk && configuration.value.revision).toBe(audits.length);
       expect(audits.length).toBeGreaterThanOrEqual(accepted.size);
       expect(audits.length).toBeLessThanOrEqual(changes.length);
     },
--- a/packages/state/src/lease/lease.test.ts
+++ b/packages/state/src/lease/lease.test.ts
@@ -11,7 +11,7 @@
 const step = fc.record({
   host: fc.integer({ min: 0, max: 2 }),
   kind: fc.constantFrom('tick', 'tick', 'tick', 'pause', 'release'),
-  fate: fc.constantFrom<CallOutcome>('ok', 'ok', 'ok', 'down', 'lost'),
+  callOutcome: fc.constantFrom<CallOutcome>('ok', 'ok', 'ok', 'down', 'lost'),
   byMs: fc.integer({ min: 0, max: 700 }),
 });
 
@@ -23,15 +23,15 @@
   return fc.asyncProperty(fc.array(step, { maxLength: 60 }), async (steps) => {
     const rows = makeRows();
     const clock = new ManualClock();
-    let fate: CallOutcome = 'ok';
+    let callOutcome: CallOutcome = 'ok';
     const leases = [0, 1, 2].map((host) => {
-      const pause = () => delayCall(clock);
-      const table = new MemoryTable(rows, () => fate, pause);
+      const yieldAt = () => delayCall(clock);
+      const table = new MemoryTable(rows, () => callOutcome, yieldAt);
       return new Lease('pool', newOwner(`h${String(host)}`), table, clock, DURATION_MS);
     });
     let highestFence = 0;
     for (const next of steps) {
-      fate = next.fate;
+      callOutcome = next.callOutcome;
       const lease = leases[next.host];
       if (next.kind === 'tick') void lease?.tick();
       if (next.kind === 'release') void lease?.release();
--- a/packages/state/src/once/at-most-once-ledger.test.ts
+++ b/packages/state/src/once/at-most-once-ledger.test.ts
@@ -14,7 +14,14 @@
   readonly answer?: string;
 }
 
-const fate = fc.constantFrom<CallOutcome>('ok', 'ok', 'ok', 'down', 'lost', 'hang-then-lost');
+const callOutcome = fc.constantFrom<CallOutcome>(
+  'ok',
+  'ok',
+  'ok',
+  'down',
+  'lost',
+  'hang-then-lost',
+);
 const call = fc.record({
   host: fc.integer({ min: 0, max: 2 }),
   key: fc.constantFrom('k1', 'k2'),
@@ -32,14 +39,14 @@
   return fc.asyncProperty(
     fc.scheduler(),
     fc.array(call, { minLength: 1, maxLength: 6 }),
-    fc.infiniteStream(fate),
-    async (scheduler, calls, fates) => {
+    fc.infiniteStream(callOutcome),
+    async (scheduler, calls, callOutcomes) => {
       const rows = makeRows();
       const runs = new Map<string, number>();
       const clock = new ScheduledClock(scheduler);
       const ledgers = [0, 1, 2].map((host) => {
-        const pause = (label: string) => scheduler.schedule(Promise.resolve(), label);
-        const table = new MemoryTable(rows, () => fates.next().value, pause);
+        const yieldAt = (label: string) => scheduler.schedule(Promise.resolve(), label);
+        const table = new MemoryTable(rows, () => callOutcomes.next().value, yieldAt);
         return new AtMostOnceLedger(table, clock, newOwner(`host-${String(host)}`));
       });
       const send = async ({
--- a/packages/web/src/server-probe.ts
+++ b/packages/web/src/server-probe.ts
@@ -2,7 +2,8 @@
 import { connect } from 'node:net';
 
 /**
- * A server that does not accept a connection within this time is skipped; nothing was sent to it.
+ * A server that does not accept a connection within this time is skipped, as nothing was sent to
+ * it.
  */
 export const CONNECT_TIMEOUT_MS: Milliseconds = 300;
 
