--- a/packages/peer/src/mesh.test.ts
+++ b/packages/peer/src/mesh.test.ts
@@ -123,8 +123,8 @@
    * twelve hosts then do not know all others within 5 s.
    */
   it('connects hosts that have enough links among themselves to a seed that they do not know', async () => {
-    const seedServer = await listenOnFreePort();
-    const seed = seedServer.url.replace('http:', 'ws:');
+    const port = await listenOnFreePort();
+    const seed = port.url.replace('http:', 'ws:');
     const firstIsolated = await startMesh('h01', [seed], 2);
     const seedsOfIsolated = [seed, firstIsolated.settings.self.peerUrl];
     const isolated = [
@@ -133,7 +133,7 @@
       await startMesh('h03', seedsOfIsolated, 2),
     ];
     await waitUntil(() => isolated.every((mesh) => mesh.linked().length === 2));
-    const first = startMeshAt(seedServer, 'h00', [], 2);
+    const first = startMeshAt(port, 'h00', [], 2);
     const late = [await startMesh('h04', [seed], 2), await startMesh('h05', [seed], 2)];
     await waitUntil(() =>
       [first, ...isolated, ...late].every((mesh) => mesh.members().length === 5),
--- a/packages/policy/src/lanes/lanes.ts
+++ b/packages/policy/src/lanes/lanes.ts
@@ -1,4 +1,4 @@
-import type { SizeBucket } from './size-histogram.js';
+import type { SizeHistogramBucket } from './size-histogram.js';
 
 /**
  * The size above which a request is long, and the fraction of engines reserved for short requests.
@@ -34,7 +34,7 @@
   readonly sumOfInverses: number;
 }
 
-function summarizeLoad(buckets: readonly SizeBucket[]): LaneLoad {
+function summarizeLoad(buckets: readonly SizeHistogramBucket[]): LaneLoad {
   let [count, workTokens, sumOfSquares, sumOfInverses] = [0, 0, 0, 0];
   for (const bucket of buckets) {
     const mean = bucket.workTokens / bucket.count;
@@ -65,7 +65,7 @@
  * the measured utilization of all engines, from 0 to 1. Returns `SINGLE_LANE` if fewer than
  * `MIN_REQUESTS` were observed or no split is better.
  */
-export function chooseLaneSplit(buckets: readonly SizeBucket[], use: number): LaneSplit {
+export function chooseLaneSplit(buckets: readonly SizeHistogramBucket[], use: number): LaneSplit {
   const all = summarizeLoad(buckets);
   if (all.count < MIN_REQUESTS) return SINGLE_LANE;
   const capacity =
--- a/packages/policy/src/limits/token-bucket.ts
+++ b/packages/policy/src/limits/token-bucket.ts
@@ -2,22 +2,23 @@
 
 const MS_PER_SECOND = 1000;
 
-/** Capacity and refill rate of a bucket, in cost units. */
-export interface BucketSize {
+/** Capacity (`burstUnits`) and refill rate of a token bucket, in cost units. */
+export interface TokenBucketSize {
   readonly unitsPerSecond: number;
   readonly burstUnits: number;
 }
 
 /**
- * A token bucket in cost units. Its balance becomes negative if a call costs more than was charged
- * in advance; the bucket then refuses until the refill has made up for it.
+ * A token bucket whose tokens are cost units (see `requestCost`), not prompt tokens. Its balance
+ * becomes negative if a call costs more than was charged in advance; the bucket then refuses until
+ * the refill has made up for it.
  */
 export class TokenBucket {
   #units: number;
   #updatedAtMs: Milliseconds;
 
   constructor(
-    public size: BucketSize,
+    public size: TokenBucketSize,
     nowMs: Milliseconds,
     units = size.burstUnits,
   ) {
--- a/packages/telemetry/src/telemetry.test.ts
+++ b/packages/telemetry/src/telemetry.test.ts
@@ -23,8 +23,8 @@
     .join('\n');
 }
 
-describe('docs/METRICS.md', () => {
-  it('lists only metrics that a program sends', () => {
+describe('METRICS', () => {
+  it('contains only metrics that a program sends', () => {
     const programs = ['gateway', 'controller'];
     const sources = programs.map((name) =>
       readSources(new URL(`../../${name}/src/`, import.meta.url)),
@@ -32,7 +32,7 @@
     for (const name of Object.keys(METRICS)) expect(sources.join('\n')).toContain(`'${name}'`);
   });
 
-  it('lists every metric', () => {
+  it('is listed completely in docs/METRICS.md', () => {
     const path = new URL('../../../docs/METRICS.md', import.meta.url);
     const page = readFileSync(path, 'utf8');
     for (const [name, { type, meaning }] of Object.entries(METRICS)) {
