--- a/packages/web/src/server-probe.ts
+++ b/packages/web/src/server-probe.ts
@@ -1,10 +1,7 @@
 import type { Clock, Milliseconds } from '@poppypond/core';
 import { connect } from 'node:net';
 
-/**
- * A server that does not accept a connection within this time is skipped, as nothing was sent to
- * it.
- */
+/** A server that does not accept a connection within this time is skipped; it was sent nothing. */
 export const CONNECT_TIMEOUT_MS: Milliseconds = 300;
 
 /**
