--- a/packages/fleet/src/fleet-view.test.ts
+++ b/packages/fleet/src/fleet-view.test.ts
@@ -62,7 +62,7 @@
     this.#uses.set(added.attemptId, added);
   }
 
-  onReadDone(attemptId: string): void {
+  onPrefillDone(attemptId: string): void {
     const known = this.#uses.get(attemptId);
     if (known?.isPrefilling) this.begin({ ...known, isPrefilling: false });
   }
@@ -102,7 +102,7 @@
           }
           if (kind === 'read') {
             fleet.onPrefillDone(String(attempt));
-            uncached.onReadDone(String(attempt));
+            uncached.onPrefillDone(String(attempt));
           }
           if (kind === 'end') {
             fleet.end(String(attempt));
@@ -124,7 +124,8 @@
     );
   });
 
-  // Per decision 0.22 ms with the cache and 2.6 ms without it, beside other processes.
+  // A decision takes 0.22 ms with the cache and 2.6 ms without it, on a host that runs other
+  // processes too.
   it('returns the loads of 720 engines in less than a third of the time of a full computation', () => {
     const servers = Array.from({ length: 720 }, (_unused, index) => server(index));
     const fleet = new FleetView();
--- a/packages/fleet/src/permit-buckets.ts
+++ b/packages/fleet/src/permit-buckets.ts
@@ -4,8 +4,9 @@
 import type { ServerLimits } from './server-limits.js';
 
 /**
- * The role in which a host grants permits: as the first planner in rank (`first`), in place of one
- * that is unresponsive (`stand_in`), or only for itself because it reaches no planner (`alone`).
+ * The role in which a host grants permits: as the first planner in rank (`first`), as standby of
+ * one that is unresponsive (`stand_in`), or only for itself because it reaches no planner
+ * (`alone`).
  */
 export type LimitRole = (typeof LIMIT_ROLES)[number];
 
@@ -20,7 +21,7 @@
 
 interface Bucket {
   readonly server: BackendServer;
-  /** Permits that may be granted; negative if some were used without a request. */
+  /** Permits that may be granted; negative if some were used without being requested. */
   permits: number;
   atMs: Milliseconds;
   /** When permits were granted recently, to report the current usage. */
@@ -34,8 +35,8 @@
  */
 const BURST_MS: Milliseconds = 250;
 /**
- * A bucket of another role than `first` is discarded if it is unused for this long, so that a host
- * that substitutes only now and then starts empty each time.
+ * A bucket of another role than `first` is discarded if it is unused for this long, so that a
+ * standby that is needed only now and then starts empty each time.
  */
 const BUCKET_EXPIRY_MS: Milliseconds = 3000;
 /** Period for which `recentlyGranted` counts permits. */
@@ -61,7 +62,7 @@
     return Math.max(0, Math.floor(this.#refill(server, part, rate, nowMs).permits));
   }
 
-  /** Grants a permit, or counts one that was used without a request. */
+  /** Grants a permit, or counts one that was used without being requested. */
   grant(server: BackendServer, part: LimitPart, nowMs: Milliseconds): void {
     const rate = this.rateOf(server, part, nowMs);
     if (rate === undefined) return;
--- a/packages/policy/src/lanes/lanes.ts
+++ b/packages/policy/src/lanes/lanes.ts
@@ -1,6 +1,8 @@
-import type { SizeBucket } from './size-histogram.js';
+import type { SizeHistogramBucket } from './size-histogram.js';
 
-/** The size above which a request is long, and the fraction of engines reserved for short requests. */
+/**
+ * The size above which a request is long, and the fraction of engines reserved for short requests.
+ */
 export interface LaneSplit {
   /** A request with more work than this is long, in tokens. Infinite if there is only one lane. */
   readonly cutOffTokens: number;
@@ -18,7 +20,9 @@
 const SPLIT_STEPS = 40;
 const MIN_SHORT_SHARE = 0.1;
 const MAX_SHORT_SHARE = 0.9;
-/** A lane with at least this utilization counts as overloaded: its predicted slowdown is infinite. */
+/**
+ * A lane with at least this utilization counts as overloaded: its predicted slowdown is infinite.
+ */
 const MAX_UTILIZATION = 0.98;
 /** Splits are evaluated at this utilization if the measured one is lower. */
 const MIN_ASSUMED_UTILIZATION = 0.7;
@@ -30,7 +34,7 @@
   readonly sumOfInverses: number;
 }
 
-function summarizeLoad(buckets: readonly SizeBucket[]): LaneLoad {
+function summarizeLoad(buckets: readonly SizeHistogramBucket[]): LaneLoad {
   let [count, workTokens, sumOfSquares, sumOfInverses] = [0, 0, 0, 0];
   for (const bucket of buckets) {
     const mean = bucket.workTokens / bucket.count;
@@ -61,7 +65,7 @@
  * the measured utilization of all engines, from 0 to 1. Returns `SINGLE_LANE` if fewer than
  * `MIN_REQUESTS` were observed or no split is better.
  */
-export function chooseLaneSplit(buckets: readonly SizeBucket[], use: number): LaneSplit {
+export function chooseLaneSplit(buckets: readonly SizeHistogramBucket[], use: number): LaneSplit {
   const all = summarizeLoad(buckets);
   if (all.count < MIN_REQUESTS) return SINGLE_LANE;
   const capacity =
