--- a/packages/policy/src/placement/placement.ts
+++ b/packages/policy/src/placement/placement.ts
@@ -46,7 +46,7 @@
 }
 
 /** The request waits because no engine accepts work. */
-export const NO_ENGINE: PlacementChoice = { kind: 'wait', why: 'no engine accepts work' };
+export const NO_ENGINE: PlacementChoice = { kind: 'wait', why: 'no engine takes work' };
 
 /** Dispatch by a placement that predicts no start time. */
 export function dispatchTo(engine: EngineState): PlacementChoice {
