--- a/packages/admin/src/access/guard.ts
+++ b/packages/admin/src/access/guard.ts
@@ -8,8 +8,8 @@
 export type OperatorHandler = (route: RouteContext, operator: Operator) => void | Promise<void>;
 
 /**
- * Wraps a handler so that it runs only for operators. Reads the configuration first, so that new keys are valid at
- * once.
+ * Wraps a handler so that it runs only for operators. Reads the configuration first, so that new
+ * keys are valid at once.
  */
 export function guard(context: AdminContext, handler: OperatorHandler): RouteHandler {
   return async (route) => {
--- a/packages/admin/src/access/operator.ts
+++ b/packages/admin/src/access/operator.ts
@@ -7,8 +7,8 @@
 import { Result } from 'true-myth';
 
 /**
- * A `viewer` only reads, an `operator` changes the objects that its scope selects except keys and operators, an `admin`
- * changes all objects.
+ * A `viewer` only reads, an `operator` changes the objects that its scope selects except keys and
+ * operators, an `admin` changes all objects.
  */
 type Role = 'viewer' | 'operator' | 'admin';
 
@@ -22,7 +22,10 @@
 const ADMIN_KINDS: ReadonlySet<string> = new Set(['operator', 'key']);
 const BOOTSTRAP_NAME = 'bootstrap';
 
-/** Finds the operator by its bearer key. The bootstrap key is accepted only while there is no operator object. */
+/**
+ * Finds the operator by its bearer key. The bootstrap key is accepted only while there is no
+ * operator object.
+ */
 export function findOperator(
   request: IncomingMessage,
   configuration: Configuration,
@@ -44,8 +47,9 @@
 }
 
 /**
- * Returns a fault if an operator may not make this change. The object must be in the operator's scope both before and
- * after the change, so that nobody can move an object into or out of another operator's scope.
+ * Returns a fault if an operator may not make this change. The object must be in the operator's
+ * scope both before and after the change, so that nobody can move an object into or out of another
+ * operator's scope.
  */
 export function checkChangeAllowed(
   operator: Operator,
--- a/packages/admin/src/fleet/app.ts
+++ b/packages/admin/src/fleet/app.ts
@@ -20,7 +20,10 @@
   peers: z.array(z.looseObject({ host: z.string(), callerUrl: z.string() })),
 });
 
-/** A host's address and its reported status, which is undefined if it is unreachable or its response is invalid. */
+/**
+ * A host's address and its reported status, which is undefined if it is unreachable or its response
+ * is invalid.
+ */
 interface HostStatus {
   readonly url: string;
   readonly status: z.infer<typeof statusSchema> | undefined;
@@ -60,7 +63,9 @@
   sendJson(route.response, 200, { revision, hosts: hosts.map(summarizeHost) });
 }
 
-/** Responds when all reachable hosts have applied the revision, or with a fault after the timeout. */
+/**
+ * Responds when all reachable hosts have applied the revision, or with a fault after the timeout.
+ */
 async function waitForRevision(context: AdminContext, route: RouteContext): Promise<void> {
   const wanted = Number(route.params['revision']);
   const timeoutMs: Milliseconds = Number(route.query.get('timeout') ?? DEFAULT_WAIT_MS);
@@ -86,7 +91,9 @@
   }
 }
 
-/** Forwards a query about decisions to the first gateway that responds, with the operator's own key. */
+/**
+ * Forwards a query about decisions to the first gateway that responds, with the operator's own key.
+ */
 async function explain(context: AdminContext, route: RouteContext, path: string): Promise<void> {
   const authorization = route.request.headers.authorization ?? '';
   for (const gateway of context.settings.gateways) {
--- a/packages/admin/src/objects/app.ts
+++ b/packages/admin/src/objects/app.ts
@@ -32,7 +32,10 @@
   objects: z.array(z.unknown()).max(MAX_OBJECTS).default([]),
   /** Objects to delete, as `kind/name`. */
   deletes: z.array(z.string()).max(MAX_OBJECTS).default([]),
-  /** Maps `kind/name` to the revision that the object must have; 0 requires that the object does not exist. */
+  /**
+   * Maps `kind/name` to the revision that the object must have; 0 requires that the object does not
+   * exist.
+   */
   expected: z.record(z.string(), z.int().nonnegative()).default({}),
 });
 
@@ -103,7 +106,10 @@
   return undefined;
 }
 
-/** Applies a change and responds with its revision, differences and warnings. A dry run stores nothing. */
+/**
+ * Applies a change and responds with its revision, differences and warnings. A dry run stores
+ * nothing.
+ */
 async function applyWrites(
   context: AdminContext,
   route: RouteContext,
--- a/packages/cli/src/commands.ts
+++ b/packages/cli/src/commands.ts
@@ -10,7 +10,10 @@
 
 const fileSchema = z.union([z.array(z.unknown()), z.object({ objects: z.array(z.unknown()) })]);
 
-/** Reads a JSON file that holds a list of objects or has one in its field `objects`. Returns undefined otherwise. */
+/**
+ * Reads a JSON file that holds a list of objects or has one in its field `objects`. Returns
+ * undefined otherwise.
+ */
 function readObjects(file: string): readonly unknown[] | undefined {
   const parsed = fileSchema.safeParse(parseJson(readFileSync(file, 'utf8')));
   if (!parsed.success) return undefined;
--- a/packages/cli/src/format.ts
+++ b/packages/cli/src/format.ts
@@ -74,7 +74,10 @@
   return `newest revision ${String(reply.revision)}\n${formatTable([header, ...rows])}`;
 }
 
-/** Formats decisions as text: the choice, its rule, the state it depended on and the rejected candidates. */
+/**
+ * Formats decisions as text: the choice, its rule, the state it depended on and the rejected
+ * candidates.
+ */
 export function formatExplain(reply: z.infer<typeof explainReply>): string {
   return reply.decisions
     .map((decision) => {
--- a/packages/cli/src/losses.ts
+++ b/packages/cli/src/losses.ts
@@ -34,7 +34,9 @@
   return new Date(startMs).toISOString();
 }
 
-/** Counts the requests in the logs by time interval, size and cause. Rows are sorted in that order. */
+/**
+ * Counts the requests in the logs by time interval, size and cause. Rows are sorted in that order.
+ */
 export function countLosses(
   lines: readonly LogLine[],
   intervalSeconds: number,
@@ -61,7 +63,10 @@
   return [...counts].sort(([left], [right]) => (left < right ? -1 : 1)).map(([, row]) => row);
 }
 
-/** `poppypond losses`: counts the requests of a cluster by time, prompt size and why they were not served in time. */
+/**
+ * `poppypond losses`: counts the requests of a cluster by time, prompt size and why they were not
+ * served in time.
+ */
 export class LossesCommand extends Command {
   static override paths = [['losses']];
   static override usage = Command.Usage({
--- a/packages/cli/src/why.ts
+++ b/packages/cli/src/why.ts
@@ -18,7 +18,10 @@
   'dependency_regained',
   'started',
 ]);
-/** Notices that servers report about themselves. The last line of each event and server on a host is in effect. */
+/**
+ * Notices that servers report about themselves. The last line of each event and server on a host is
+ * in effect.
+ */
 const NOTICE_EVENTS: ReadonlySet<string> = new Set([
   'server_leaving',
   'server_rests',
@@ -30,8 +33,8 @@
 }
 
 /**
- * Whether the state in `line` is still in effect at the time of `later`. A backoff ends after its `for_ms`; a rate
- * limit ends with a line that reports its end.
+ * Whether the state in `line` is still in effect at the time of `later`. A backoff ends after its
+ * `for_ms`; a rate limit ends with a line that reports its end.
  */
 function isInEffectAt(line: LogLine, later: LogLine): boolean {
   if (line['event'] === 'server_limit') return line['change'] !== 'over';
@@ -39,7 +42,10 @@
   return timestampMs(line) + Number(line['for_ms']) >= timestampMs(later);
 }
 
-/** Returns the host states and server notices that are in effect on the hosts of a request at the time of `first`. */
+/**
+ * Returns the host states and server notices that are in effect on the hosts of a request at the
+ * time of `first`.
+ */
 function findContextLines(lines: readonly LogLine[], first: LogLine, hosts: ReadonlySet<unknown>) {
   const before = lines
     .filter((line) => hosts.has(line['host']) && compareByTime(line, first) <= 0)
@@ -55,9 +61,9 @@
 }
 
 /**
- * Returns the formatted log lines of one request, oldest first. They include the last configuration change, start, lost
- * and regained dependency of its hosts before its first line, and the server notices in effect then. Returns no lines
- * for an unknown request.
+ * Returns the formatted log lines of one request, oldest first. They include the last configuration
+ * change, start, lost and regained dependency of its hosts before its first line, and the server
+ * notices in effect then. Returns no lines for an unknown request.
  */
 export function buildTimeline(lines: readonly LogLine[], request: string): readonly string[] {
   const requestLines = lines.filter((line) => line['request'] === request).sort(compareByTime);
--- a/packages/controller/src/cleanup/cleanup.ts
+++ b/packages/controller/src/cleanup/cleanup.ts
@@ -3,10 +3,16 @@
 
 const DECISIONS_PREFIX = 'decisions/';
 const TIME_DIGITS = 14;
-/** Decision records that one run deletes at most, so that cleanup does not use up the store's write budget. */
+/**
+ * Decision records that one run deletes at most, so that cleanup does not use up the store's write
+ * budget.
+ */
 const MAX_DELETES_PER_RUN = 200;
 
-/** Deletes ledger rows and decision records after their retention times. Each run scans one page of the ledger. */
+/**
+ * Deletes ledger rows and decision records after their retention times. Each run scans one page of
+ * the ledger.
+ */
 export class Cleanup {
   #after = '';
 
--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -80,8 +80,8 @@
 }
 
 /**
- * Starts the timers of the work that only the holder of the fleet lease does: memory sweep and cleanup. The timers
- * that renew the lease and flush decision records run on every controller.
+ * Starts the timers of the work that only the holder of the fleet lease does: memory sweep and
+ * cleanup. The timers that renew the lease and flush decision records run on every controller.
  */
 function startFleetWork(context: ControllerContext, lease: Lease): readonly CancelTimer[] {
   const { clock, settings } = context;
--- a/packages/controller/src/models/plan-commands.ts
+++ b/packages/controller/src/models/plan-commands.ts
@@ -30,7 +30,10 @@
   readonly why: string;
 }
 
-/** Returns the engines that should hold a model: as many as the demand needs, between `minEngines` and `maxEngines`. */
+/**
+ * Returns the engines that should hold a model: as many as the demand needs, between `minEngines`
+ * and `maxEngines`.
+ */
 export function chooseHolders(
   model: DesiredModel,
   engines: readonly PlannedEngine[],
@@ -41,8 +44,9 @@
 }
 
 /**
- * Returns the next load command for a model: for an engine without the model first, then for one with another version.
- * Only one command is planned at a time, so that a rollout never makes the model unavailable on two engines at once.
+ * Returns the next load command for a model: for an engine without the model first, then for one
+ * with another version. Only one command is planned at a time, so that a rollout never makes the
+ * model unavailable on two engines at once.
  */
 export function planLoad(
   model: DesiredModel,
@@ -60,7 +64,10 @@
   return { engine, order: { kind: 'load-model', model: name, version, adapters }, why };
 }
 
-/** Returns an unload command for an engine that need not hold the model, if more engines hold it than needed. */
+/**
+ * Returns an unload command for an engine that need not hold the model, if more engines hold it
+ * than needed.
+ */
 export function planUnload(
   model: DesiredModel,
   engines: readonly PlannedEngine[],
@@ -76,8 +83,8 @@
 }
 
 /**
- * Returns a command for the first engine whose role differs from the desired one. Short roles go to the start of
- * `order`, long roles to its end.
+ * Returns a command for the first engine whose role differs from the desired one. Short roles go to
+ * the start of `order`, long roles to its end.
  */
 export function planRole(
   roles: { readonly short: number; readonly long: number },
--- a/packages/controller/src/models/pool-controller.ts
+++ b/packages/controller/src/models/pool-controller.ts
@@ -25,7 +25,9 @@
   readonly busyShare: number;
 }
 
-/** Reconciles models and roles of the engines of one pool while this host holds the pool's lease. */
+/**
+ * Reconciles models and roles of the engines of one pool while this host holds the pool's lease.
+ */
 export class PoolController {
   readonly lease: Lease;
   readonly #neededByModel = new Map<string, DelayedDecrease>();
@@ -103,8 +105,8 @@
   }
 
   /**
-   * Whether a new lease holder must not send commands yet: if an engine of the pool does not check fencing tokens, it
-   * waits until all commands of the previous holder have expired.
+   * Whether a new lease holder must not send commands yet: if an engine of the pool does not check
+   * fencing tokens, it waits until all commands of the previous holder have expired.
    */
   #isInGracePeriod(held: HeldLease, view: PoolView): boolean {
     const now = this.context.clock.monotonicMs();
@@ -143,7 +145,10 @@
     }
   }
 
-  /** Returns how many engines the current demand needs: all if the models of the pool do not compete for engines. */
+  /**
+   * Returns how many engines the current demand needs: all if the models of the pool do not compete
+   * for engines.
+   */
   #neededEngines(view: PoolView, model: string, isContended: boolean): number {
     if (!isContended) return view.urls.size;
     const holderCount = view.engines.filter((engine) => model in engine.models).length;
@@ -195,7 +200,10 @@
     await writeRollout(table, this.name, name, { good, failed: version }, rowVersion);
   }
 
-  /** Sends a command if this host still holds the lease. The command expires no later than the lease. */
+  /**
+   * Sends a command if this host still holds the lease. The command expires no later than the
+   * lease.
+   */
   async #send(view: PoolView, planned: PlannedCommand) {
     const held = this.lease.held();
     const url = view.urls.get(planned.engine);
--- a/packages/controller/src/models/rollout.ts
+++ b/packages/controller/src/models/rollout.ts
@@ -5,7 +5,9 @@
 const rolloutSchema = z.object({
   /** The last wanted version that all designated engines have loaded. */
   good: z.string(),
-  /** A version that failed to load; it is not retried until the model object names another version. */
+  /**
+   * A version that failed to load; it is not retried until the model object names another version.
+   */
   failed: z.string().nullable(),
 });
 
@@ -35,7 +37,10 @@
   }));
 }
 
-/** Writes rollout state. Returns false if the write failed or another holder changed the row since it was read. */
+/**
+ * Writes rollout state. Returns false if the write failed or another holder changed the row since
+ * it was read.
+ */
 export async function writeRollout(
   table: TableStore,
   pool: string,
--- a/packages/controller/src/sweep/find-release-reason.ts
+++ b/packages/controller/src/sweep/find-release-reason.ts
@@ -2,7 +2,10 @@
 import { formatOwner, parseOwner } from '@poppypond/core';
 import type { Owner } from '@poppypond/core';
 
-/** Response of a host about a reservation: its own present identity, and whether it still uses the memory. */
+/**
+ * Response of a host about a reservation: its own present identity, and whether it still uses the
+ * memory.
+ */
 export interface ClaimResponse {
   readonly owner: Owner;
   readonly isClaimed: boolean;
@@ -12,9 +15,10 @@
 export type ReleaseReason = 'owner_replaced' | 'owner_disclaims' | 'time_limit_passed';
 
 /**
- * Returns why an expired reservation may be released, or undefined if a live request may still need it. It may be
- * released only if its owner disclaims it, if its host runs another incarnation, or if its time limit has passed. A
- * missing response is no reason for release: the owner may be paused and resume later.
+ * Returns why an expired reservation may be released, or undefined if a live request may still need
+ * it. It may be released only if its owner disclaims it, if its host runs another incarnation, or
+ * if its time limit has passed. A missing response is no reason for release: the owner may be
+ * paused and resume later.
  */
 export function findReleaseReason(
   held: MemoryReservation,
@@ -28,7 +32,10 @@
   return answer.isClaimed ? undefined : 'owner_disclaims';
 }
 
-/** Whether a reservation has the same owner as in the previous pass and no renewal since, which a release requires. */
+/**
+ * Whether a reservation has the same owner as in the previous pass and no renewal since, which a
+ * release requires.
+ */
 export function isUnchanged(
   before: MemoryReservation | undefined,
   now: MemoryReservation,
--- a/packages/controller/src/sweep/memory-sweep.ts
+++ b/packages/controller/src/sweep/memory-sweep.ts
@@ -16,7 +16,9 @@
   peers: z.array(z.object({ host: z.string(), callerUrl: z.string() })),
 });
 
-/** Releases engine memory that no live request needs and that was not renewed between two passes. */
+/**
+ * Releases engine memory that no live request needs and that was not renewed between two passes.
+ */
 export class MemorySweep {
   #previous = new Map<string, MemoryReservation>();
 
@@ -73,7 +75,9 @@
     });
   }
 
-  /** Maps host names to addresses, from the gateways in the settings and the peers that they report. */
+  /**
+   * Maps host names to addresses, from the gateways in the settings and the peers that they report.
+   */
   async #findHosts(): Promise<ReadonlyMap<string, string>> {
     const hosts = new Map<string, string>();
     const replies = await Promise.all(
--- a/packages/emulator/src/deployment.ts
+++ b/packages/emulator/src/deployment.ts
@@ -44,8 +44,8 @@
 }
 
 /**
- * A period in which an engine rejects attempts and asks for backoff (`rests`), or reports in its responses that it
- * leaves (`leaves`) or that it has a rate limit (`limits`).
+ * A period in which an engine rejects attempts and asks for backoff (`rests`), or reports in its
+ * responses that it leaves (`leaves`) or that it has a rate limit (`limits`).
  */
 export interface EngineNotice {
   readonly engineId: string;
@@ -68,7 +68,9 @@
   readonly notices: readonly EngineNotice[];
 }
 
-/** Upper bound of the value of an answer, relative to the value at its kind's mean prompt length. */
+/**
+ * Upper bound of the value of an answer, relative to the value at its kind's mean prompt length.
+ */
 const MAX_RELATIVE_VALUE = 4;
 /** Share of the value that does not depend on the length of the prompt. */
 const FIXED_VALUE_SHARE = 0.3;
--- a/packages/emulator/src/emulated-engine.test.ts
+++ b/packages/emulator/src/emulated-engine.test.ts
@@ -44,7 +44,8 @@
     const { clock, seen, read } = createEngine();
     read('a', 5000);
     clock.runUntil(1000);
-    // 5,000 / 154 ms for the tokens, 12.5 million pairs at 0.162 ms, three steps of at most 2,048 tokens.
+    // 5,000 / 154 ms for the tokens, 12.5 million pairs at 0.162 ms, three steps of at most 2,048
+    // tokens.
     expect(seen).toEqual(['a read 38.4']);
   });
 
--- a/packages/emulator/src/emulated-engine.ts
+++ b/packages/emulator/src/emulated-engine.ts
@@ -6,7 +6,9 @@
 export interface PrefillPart {
   readonly streamId: string;
   readonly tokens: number;
-  /** Compute time of its tokens and token pairs, without the time of the steps that process them. */
+  /**
+   * Compute time of its tokens and token pairs, without the time of the steps that process them.
+   */
   readonly computeMs: Milliseconds;
   /** Whether another engine decodes the answer. */
   readonly isForOtherEngine: boolean;
@@ -36,9 +38,10 @@
 const COMPLETION_TOLERANCE = 1e-9;
 
 /**
- * Model of one engine by the published timing formulas. It works in passes over all pending work. A pass has several
- * decode steps while any answer is decoded, with prefill between the steps. Parts for other engines are prefilled
- * before the engine's own prompts, and newer parts before older ones, as observed on the benchmark.
+ * Model of one engine by the published timing formulas. It works in passes over all pending work. A
+ * pass has several decode steps while any answer is decoded, with prefill between the steps. Parts
+ * for other engines are prefilled before the engine's own prompts, and newer parts before older
+ * ones, as observed on the benchmark.
  */
 export class EmulatedEngine {
   #parts: RunningPart[] = [];
@@ -56,7 +59,10 @@
     readonly figures: EngineFigures,
   ) {}
 
-  /** Queues a part of a prompt for prefill. If this engine also decodes the answer, the part waits for a slot first. */
+  /**
+   * Queues a part of a prompt for prefill. If this engine also decodes the answer, the part waits
+   * for a slot first.
+   */
   read(part: PrefillPart): void {
     const running = { part, left: 1 };
     if (part.isForOtherEngine) this.#parts.push(running);
@@ -132,7 +138,10 @@
     return passTimeMs(this.figures, decodingStreams.length, context);
   }
 
-  /** Adds prefill to the pass that starts. Returns its compute time and the parts that the pass completes. */
+  /**
+   * Adds prefill to the pass that starts. Returns its compute time and the parts that the pass
+   * completes.
+   */
   #prefillInPass(isDecoding: boolean): {
     readonly prefillMs: Milliseconds;
     readonly finished: readonly RunningPart[];
--- a/packages/emulator/src/engine-notices.ts
+++ b/packages/emulator/src/engine-notices.ts
@@ -10,7 +10,9 @@
 /** Rate limit that an engine reports, in requests per second from all hosts together. */
 export const LIMIT_PER_SECOND = 2;
 
-/** The notices that engines report in a scenario, and the state that the host keeps because of them. */
+/**
+ * The notices that engines report in a scenario, and the state that the host keeps because of them.
+ */
 export class EngineNotices {
   readonly #backoffs: ServerBackoffs;
   readonly #servers = new Map<string, BackendServer>();
@@ -30,7 +32,10 @@
     for (const server of listed) this.#servers.set(server.id, server);
   }
 
-  /** Records that an attempt reaches an engine. Returns true if the engine rejects it and asks for backoff. */
+  /**
+   * Records that an attempt reaches an engine. Returns true if the engine rejects it and asks for
+   * backoff.
+   */
   rejectsAttempt(id: string, attemptId: string): boolean {
     const server = this.#servers.get(id);
     if (!server) return false;
@@ -55,7 +60,10 @@
     this.limits.applyNotice(server, isLimited ? named : { kind: 'none' }, nowMs, nowMs);
   }
 
-  /** Returns the engines that may be sent no attempt now because of a backoff or the ramp-up after it. */
+  /**
+   * Returns the engines that may be sent no attempt now because of a backoff or the ramp-up after
+   * it.
+   */
   excludedIds(): readonly string[] {
     const nowMs = this.clock.monotonicMs();
     const resting = [...this.#servers.values()].filter(
--- a/packages/emulator/src/generate-scenario.ts
+++ b/packages/emulator/src/generate-scenario.ts
@@ -35,7 +35,10 @@
   };
 }
 
-/** Generates short, middle and long kinds with relative rates, which are later scaled to the wanted load. */
+/**
+ * Generates short, middle and long kinds with relative rates, which are later scaled to the wanted
+ * load.
+ */
 function generateRequestKinds(random: RandomSource): readonly RequestKind[] {
   const shortAimMs = uniformBetween(random, 200, 400);
   return [
@@ -75,7 +78,10 @@
   ];
 }
 
-/** Returns the engine time of one mean request. The time of a decode pass is shared by `slots - 1` requests. */
+/**
+ * Returns the engine time of one mean request. The time of a decode pass is shared by `slots - 1`
+ * requests.
+ */
 function engineTimeMs(kind: RequestKind, figures: EngineFigures): Milliseconds {
   const { mean, sigma } = kind.promptTokens;
   const pairs = (mean * mean * Math.exp(sigma * sigma)) / 2;
@@ -85,7 +91,10 @@
   return prefillMs + (kind.events.mean * passMs) / (figures.slots - 1);
 }
 
-/** Generates a deployment with random engine figures, whose callers need 0.4 to 0.6 of its engine time. */
+/**
+ * Generates a deployment with random engine figures, whose callers need 0.4 to 0.6 of its engine
+ * time.
+ */
 export function generateDeployment(
   name: string,
   isLarge: boolean,
@@ -131,7 +140,10 @@
 const PHASE_MS: Milliseconds = 9500;
 const PHASE_GAP_MS: Milliseconds = 1500;
 
-/** Generates alternating phases of mostly short and mostly long prompts, with 1.5 s of usual traffic between them. */
+/**
+ * Generates alternating phases of mostly short and mostly long prompts, with 1.5 s of usual traffic
+ * between them.
+ */
 function generateAlternatingBursts(random: RandomSource): readonly Burst[] {
   const firstPhase = random() < 0.5 ? 0 : 1;
   return Array.from({ length: PHASES_PER_SCENARIO }, (_unused, phase) => {
@@ -146,7 +158,10 @@
   }).flat();
 }
 
-/** Generates a scenario of alternating short and long phases, with a kill of all hosts 1.5 s after the last one. */
+/**
+ * Generates a scenario of alternating short and long phases, with a kill of all hosts 1.5 s after
+ * the last one.
+ */
 export function generateAlternatingScenario(random: RandomSource): Scenario {
   const bursts = generateAlternatingBursts(random);
   const killAtMs = PHASES_PER_SCENARIO * (PHASE_MS + PHASE_GAP_MS) + PHASE_GAP_MS;
@@ -166,7 +181,10 @@
 const BACKOFF_SHARE = 0.25;
 const LEAVING_SHARE = 0.1;
 
-/** Generates the notices of a scenario: some engines ask for backoff for 3 to 9 s, some leave permanently. */
+/**
+ * Generates the notices of a scenario: some engines ask for backoff for 3 to 9 s, some leave
+ * permanently.
+ */
 export function generateNotices(
   { engines }: Deployment,
   random: RandomSource,
--- a/packages/emulator/src/outcome.ts
+++ b/packages/emulator/src/outcome.ts
@@ -3,9 +3,9 @@
 import type { Arrival } from './traffic.js';
 
 /**
- * How a request ended for its caller. `late_start` and `late_pause`: served, but the first event or a gap between
- * events missed its target. `left`: the caller gave up because of silence or its timeout. `refused`: the caller was
- * told so. `open`: not ended when the simulation stopped.
+ * How a request ended for its caller. `late_start` and `late_pause`: served, but the first event or
+ * a gap between events missed its target. `left`: the caller gave up because of silence or its
+ * timeout. `refused`: the caller was told so. `open`: not ended when the simulation stopped.
  */
 export type OutcomeKind = 'in_time' | 'late_start' | 'late_pause' | 'left' | 'refused' | 'open';
 
@@ -19,7 +19,9 @@
   readonly queuedMs: Milliseconds;
 }
 
-/** Summary of a simulation: the value that its answers earned, and the value if all were in time. */
+/**
+ * Summary of a simulation: the value that its answers earned, and the value if all were in time.
+ */
 export interface ScenarioResult {
   readonly earnedValue: number;
   readonly maxValue: number;
@@ -36,7 +38,10 @@
   readonly maxValue: number;
 }
 
-/** Returns the earned value. A request that waits in vain costs more the longer it waited, up to its full value. */
+/**
+ * Returns the earned value. A request that waits in vain costs more the longer it waited, up to its
+ * full value.
+ */
 function earnedValueOf({ arrival, kind, queuedMs }: Outcome): number {
   if (kind === 'in_time') return answerValue(arrival.kind, arrival.promptTokens, true);
   const isLate = kind === 'late_start' || kind === 'late_pause';
--- a/packages/emulator/src/simulation.test.ts
+++ b/packages/emulator/src/simulation.test.ts
@@ -36,7 +36,9 @@
   return earned / results.reduce((sum, result) => sum + result.maxValue, 0);
 }
 
-/** Share of the value that is earned with alternating phases and 1.6 times the usual request rate. */
+/**
+ * Share of the value that is earned with alternating phases and 1.6 times the usual request rate.
+ */
 function earnedShareUnderOverload(
   seeds: readonly number[],
   latePromptPolicy: LatePromptPolicy,
@@ -56,7 +58,10 @@
   return earned / results.reduce((sum, result) => sum + result.maxValue, 0);
 }
 
-/** Share of refused requests if a quarter of the engines ask for backoff and some leave, without bursts and kills. */
+/**
+ * Share of refused requests if a quarter of the engines ask for backoff and some leave, without
+ * bursts and kills.
+ */
 function refusedShareWithNotices(seeds: readonly number[]): number {
   const outcomes = seeds.flatMap((seed) => {
     const random = seededRandom(seed);
@@ -78,8 +83,8 @@
 const SETTLING_MS = 3000;
 
 /**
- * Returns the most attempts that one engine got within 4 s, and the share of refused requests, if the first quarter
- * of the engines report a rate limit, without bursts and kills.
+ * Returns the most attempts that one engine got within 4 s, and the share of refused requests, if
+ * the first quarter of the engines report a rate limit, without bursts and kills.
  */
 function simulateLimits(seeds: readonly number[]) {
   const runs = seeds.map((seed) => {
--- a/packages/emulator/src/simulation.ts
+++ b/packages/emulator/src/simulation.ts
@@ -31,7 +31,10 @@
 /** State of a request that has not ended. */
 interface OpenRequest {
   readonly arrival: Arrival;
-  /** Incarnation of the hosts that serve the request, or -1 after a kill; events of other incarnations are ignored. */
+  /**
+   * Incarnation of the hosts that serve the request, or -1 after a kill; events of other
+   * incarnations are ignored.
+   */
   incarnation: number;
   firstEventMs: Milliseconds | undefined;
   lastEventAtMs: Milliseconds;
@@ -226,7 +229,9 @@
     });
   }
 
-  /** Sends a request that an engine rejected to another engine, or refuses it after `MAX_ATTEMPTS`. */
+  /**
+   * Sends a request that an engine rejected to another engine, or refuses it after `MAX_ATTEMPTS`.
+   */
   #retry(request: OpenRequest, engineId: string): void {
     request.rejectedBy.add(engineId);
     if (request.rejectedBy.size >= MAX_ATTEMPTS) {
@@ -293,7 +298,10 @@
     this.#outcomes.push({ arrival, kind, firstEventMs, queuedMs });
   }
 
-  /** Kills all hosts at once. They restart without any state, and callers send their open requests again. */
+  /**
+   * Kills all hosts at once. They restart without any state, and callers send their open requests
+   * again.
+   */
   #killHosts(): void {
     this.#incarnation += 1;
     this.#areHostsDown = true;
@@ -307,7 +315,10 @@
     });
   }
 
-  /** Sends a request again from the start; events that its caller received before the kill are discarded. */
+  /**
+   * Sends a request again from the start; events that its caller received before the kill are
+   * discarded.
+   */
   #restartRequest(request: OpenRequest): void {
     request.firstEventMs = undefined;
     request.hasLateGap = false;
--- a/packages/emulator/src/traffic.ts
+++ b/packages/emulator/src/traffic.ts
@@ -45,7 +45,8 @@
     const ratePerMs = requestRateAt(kind, scenario, atMs) / MS_PER_SECOND;
     const interarrivalMs =
       ratePerMs > 0 ? -Math.log(1 - random()) / ratePerMs : Number.POSITIVE_INFINITY;
-    // The exponential distribution is memoryless, so a gap that exceeds its interval is sampled again in the next one.
+    // The exponential distribution is memoryless, so a gap that exceeds its interval is sampled
+    // again in the next one.
     const intervalEndMs = (Math.floor(atMs / RATE_INTERVAL_MS) + 1) * RATE_INTERVAL_MS;
     if (atMs + interarrivalMs >= intervalEndMs) {
       atMs = intervalEndMs;
--- a/packages/emulator/src/virtual-clock.ts
+++ b/packages/emulator/src/virtual-clock.ts
@@ -3,7 +3,9 @@
 
 interface Timer {
   readonly dueMs: Milliseconds;
-  /** Sequence number; timers that are due at the same time fire in the order in which they were set. */
+  /**
+   * Sequence number; timers that are due at the same time fire in the order in which they were set.
+   */
   readonly order: number;
   readonly callback: () => void;
   isCancelled: boolean;
