--- a/packages/admin/src/objects/app.ts
+++ b/packages/admin/src/objects/app.ts
@@ -93,7 +93,7 @@
   return current.advance(changes);
 }
 
-function findForbiddenWrite(
+function checkWritesAllowed(
   current: Configuration,
   operator: Operator,
   writes: readonly ObjectWrite[],
@@ -121,7 +121,7 @@
   const writes = toWrites(body, objects);
   const missing = body.deletes.find((id) => !current.objects.has(id));
   if (missing !== undefined) return sendFault(route.response, fault('not_found', missing));
-  const forbidden = findForbiddenWrite(current, operator, writes);
+  const forbidden = checkWritesAllowed(current, operator, writes);
   if (forbidden) return sendFault(route.response, forbidden);
   const warnings = findWarnings(objects, previewConfiguration(current, writes));
   const diff = writes.map(({ id, after }) => ({
--- a/packages/cli/src/format.ts
+++ b/packages/cli/src/format.ts
@@ -1,7 +1,7 @@
 import type { z } from 'zod';
 import type { applyReply, auditReply, explainReply, objectsReply, statusReply } from './replies.js';
 
-function labelsText(labels: Readonly<Record<string, string>>): string {
+function formatLabels(labels: Readonly<Record<string, string>>): string {
   return Object.entries(labels)
     .map(([key, value]) => `${key}=${value}`)
     .join(',');
@@ -31,7 +31,7 @@
     kind,
     name,
     String(revision),
-    labelsText(labels),
+    formatLabels(labels),
   ]);
   return formatTable([['KIND', 'NAME', 'REVISION', 'LABELS'], ...rows]);
 }
@@ -91,7 +91,7 @@
       return [
         `${time} ${decision.host} ${decision.kind}: ${decision.choice}${rule}` +
           ` (configuration ${String(decision.revision)})`,
-        `    request ${decision.requestId ?? '-'} labels ${labelsText(decision.labels)}`,
+        `    request ${decision.requestId ?? '-'} labels ${formatLabels(decision.labels)}`,
         ...(state === '' ? [] : [`    state ${state}`]),
         ...over,
       ].join('\n');
--- a/packages/demo/src/commands.ts
+++ b/packages/demo/src/commands.ts
@@ -8,8 +8,8 @@
 export const demoCommand = defineCommand({
   description: 'Run gateway, controller, admin and fake servers in one process on loopback.',
   shape: {
-    port: portSetting.default(8080).describe('port for callers; 0 takes a free one'),
-    adminPort: portSetting.default(8090).describe('port for operators; 0 takes a free one'),
+    port: portSetting.default(8080).describe('port for callers; 0 selects a free port'),
+    adminPort: portSetting.default(8090).describe('port for operators; 0 selects a free port'),
     check: booleanSetting
       .default(false)
       .describe('send one short and one long prompt, verify both answers and exit'),
--- a/packages/emulator/src/simulation.test.ts
+++ b/packages/emulator/src/simulation.test.ts
@@ -130,14 +130,14 @@
     expect(first.filter(({ kind }) => kind === 'open')).toEqual([]);
   });
 
-  it('earns less with a planted bad policy: a planner that forgets its placements', () => {
+  it('earns less with a deliberate fault: a planner that forgets its placements', () => {
     const seeds = [5, 6, 7];
     const baseline = earnedShareOf(seeds);
     vi.spyOn(FleetView.prototype, 'begin').mockImplementation(() => undefined);
     expect(earnedShareOf(seeds)).toBeLessThan(baseline - 0.05);
   });
 
-  it('refuses more with a planted bad policy: a host that ignores the backoff that engines ask for', () => {
+  it('refuses more with a deliberate fault: a host that ignores the backoff that engines ask for', () => {
     const seeds = [21, 22, 23, 24];
     const refusedShare = refusedShareWithNotices(seeds);
     vi.spyOn(ServerBackoffs.prototype, 'begin').mockImplementation(() => {
@@ -147,7 +147,7 @@
     expect(refusedShare).toBeLessThan(refusedShareWithNotices(seeds) / 3);
   });
 
-  it('exceeds rate limits with a planted bad policy: a planner that ignores the limits that engines report', () => {
+  it('exceeds rate limits with a deliberate fault: a planner that ignores the limits that engines report', () => {
     const seeds = [31, 32, 33];
     const maxExpected = (LIMIT_PER_SECOND * WINDOW_MS) / 1000 + 2;
     const limited = simulateLimits(seeds);
--- a/packages/gateway/src/groups/mutex.ts
+++ b/packages/gateway/src/groups/mutex.ts
@@ -2,8 +2,8 @@
 export type Unlock = () => void;
 
 /**
- * Lock that is granted in order of arrival. Groups of one host hold it while they reserve memory:
- * concurrent groups take memory from each other, so that all of them have to back off.
+ * Lock that is granted in order of arrival. Groups of one host hold it while they reserve memory.
+ * Without it, concurrent groups take memory from each other and all of them have to back off.
  */
 export class Mutex {
   #lastRelease: Promise<void> = Promise.resolve();
--- a/packages/gateway/src/shares/share-manager.test.ts
+++ b/packages/gateway/src/shares/share-manager.test.ts
@@ -43,7 +43,7 @@
 }
 
 describe('ShareManager', () => {
-  it('lets one host use the whole limit when it gets all the traffic', async () => {
+  it('lets one host use more than 90% of the limit when it gets all the traffic', async () => {
     const fleet = createFleet();
     for (let host = 0; host < HOSTS; host += 1) await prepareAndCharge(fleet, host, 10);
     const startMs = fleet.clock.monotonicMs();
--- a/packages/gateway/src/shares/share-table.ts
+++ b/packages/gateway/src/shares/share-table.ts
@@ -50,7 +50,7 @@
 
   /**
    * Updates a row by compare-and-set, and tries again after a conflict. Returns undefined if
-   * `update` returns no row, or if it is not confirmed that the row was written.
+   * `change` returns no row, or if it is not confirmed that the row was written.
    */
   async #update(
     budgetId: string,
--- a/packages/proof/src/end-to-end.test.ts
+++ b/packages/proof/src/end-to-end.test.ts
@@ -75,7 +75,7 @@
     });
   });
 
-  it('runs a call that may not be repeated once, whichever hosts it is sent to', async () => {
+  it('runs an at-most-once call once, whichever hosts it is sent to', async () => {
     const headers = {
       authorization: `Bearer ${sampleKey('members')}`,
       'idempotency-key': 'confirmation-1',
--- a/packages/proof/src/scenarios/completions.ts
+++ b/packages/proof/src/scenarios/completions.ts
@@ -37,7 +37,7 @@
 interface LoadOptions {
   readonly calls: number;
   readonly cancelShare: number;
-  /** One call in so many needs a group of engines, which hold memory between calls. */
+  /** On average one call in this many needs a group of engines, which hold memory between calls. */
   readonly groupEvery: number;
   readonly killsGateways: boolean;
   readonly freezesGateways: boolean;
--- a/packages/standin/src/commands.ts
+++ b/packages/standin/src/commands.ts
@@ -16,7 +16,7 @@
 
 const listenShape = {
   listenAddress: z.string().default('127.0.0.1').describe('address to listen on'),
-  listenPort: portSetting.default(0).describe('port to listen on; 0 for any free port'),
+  listenPort: portSetting.default(0).describe('port to listen on; 0 selects a free port'),
 };
 
 const MS_PER_SECOND = 1000;
--- a/packages/standin/src/engine/kv-memory.ts
+++ b/packages/standin/src/engine/kv-memory.ts
@@ -58,7 +58,10 @@
     return this.#reservations.get(id);
   }
 
-  /** Returns undefined if not all of the memory is free. `claim.deadlineMs` counts from now. */
+  /**
+   * Reserves all of `claim.tokens` or nothing. Returns undefined if fewer tokens are free.
+   * `claim.deadlineMs` counts from now.
+   */
   reserve(
     claim: Pick<Reservation, 'owner' | 'requestId' | 'attempt' | 'tokens' | 'deadlineMs'>,
     ttlMs: Milliseconds,
