--- a/packages/admin/src/objects/app.ts
+++ b/packages/admin/src/objects/app.ts
@@ -32,7 +32,10 @@
   objects: z.array(z.unknown()).max(MAX_OBJECTS).default([]),
   /** Objects to delete, as `kind/name`. */
   deletes: z.array(z.string()).max(MAX_OBJECTS).default([]),
-  /** Maps `kind/name` to the revision that the object must have; 0 requires that the object does not exist. */
+  /**
+   * Maps `kind/name` to the revision that the object must have; 0 requires that the object does not
+   * exist.
+   */
   expected: z.record(z.string(), z.int().nonnegative()).default({}),
 });
 
@@ -90,7 +93,7 @@
   return current.advance(changes);
 }
 
-function findForbiddenWrite(
+function checkWritesAllowed(
   current: Configuration,
   operator: Operator,
   writes: readonly ObjectWrite[],
@@ -103,7 +106,10 @@
   return undefined;
 }
 
-/** Applies a change and responds with its revision, differences and warnings. A dry run stores nothing. */
+/**
+ * Applies a change and responds with its revision, differences and warnings. A dry run stores
+ * nothing.
+ */
 async function applyWrites(
   context: AdminContext,
   route: RouteContext,
@@ -115,7 +121,7 @@
   const writes = toWrites(body, objects);
   const missing = body.deletes.find((id) => !current.objects.has(id));
   if (missing !== undefined) return sendFault(route.response, fault('not_found', missing));
-  const forbidden = findForbiddenWrite(current, operator, writes);
+  const forbidden = checkWritesAllowed(current, operator, writes);
   if (forbidden) return sendFault(route.response, forbidden);
   const warnings = findWarnings(objects, previewConfiguration(current, writes));
   const diff = writes.map(({ id, after }) => ({
--- a/packages/emulator/src/simulation.test.ts
+++ b/packages/emulator/src/simulation.test.ts
@@ -36,7 +36,9 @@
   return earned / results.reduce((sum, result) => sum + result.maxValue, 0);
 }
 
-/** Share of the value that is earned with alternating phases and 1.6 times the usual request rate. */
+/**
+ * Share of the value that is earned with alternating phases and 1.6 times the usual request rate.
+ */
 function earnedShareUnderOverload(
   seeds: readonly number[],
   latePromptPolicy: LatePromptPolicy,
@@ -56,7 +58,10 @@
   return earned / results.reduce((sum, result) => sum + result.maxValue, 0);
 }
 
-/** Share of refused requests if a quarter of the engines ask for backoff and some leave, without bursts and kills. */
+/**
+ * Share of refused requests if a quarter of the engines ask for backoff and some leave, without
+ * bursts and kills.
+ */
 function refusedShareWithNotices(seeds: readonly number[]): number {
   const outcomes = seeds.flatMap((seed) => {
     const random = seededRandom(seed);
@@ -78,8 +83,8 @@
 const SETTLING_MS = 3000;
 
 /**
- * Returns the most attempts that one engine got within 4 s, and the share of refused requests, if the first quarter
- * of the engines report a rate limit, without bursts and kills.
+ * Returns the most attempts that one engine got within 4 s, and the share of refused requests, if
+ * the first quarter of the engines report a rate limit, without bursts and kills.
  */
 function simulateLimits(seeds: readonly number[]) {
   const runs = seeds.map((seed) => {
@@ -125,14 +130,14 @@
     expect(first.filter(({ kind }) => kind === 'open')).toEqual([]);
   });
 
-  it('earns less with a planted bad policy: a planner that forgets its placements', () => {
+  it('earns less with a deliberate fault: a planner that forgets its placements', () => {
     const seeds = [5, 6, 7];
     const baseline = earnedShareOf(seeds);
     vi.spyOn(FleetView.prototype, 'begin').mockImplementation(() => undefined);
     expect(earnedShareOf(seeds)).toBeLessThan(baseline - 0.05);
   });
 
-  it('refuses more with a planted bad policy: a host that ignores the backoff that engines ask for', () => {
+  it('refuses more with a deliberate fault: a host that ignores the backoff that engines ask for', () => {
     const seeds = [21, 22, 23, 24];
     const refusedShare = refusedShareWithNotices(seeds);
     vi.spyOn(ServerBackoffs.prototype, 'begin').mockImplementation(() => {
@@ -142,7 +147,7 @@
     expect(refusedShare).toBeLessThan(refusedShareWithNotices(seeds) / 3);
   });
 
-  it('exceeds rate limits with a planted bad policy: a planner that ignores the limits that engines report', () => {
+  it('exceeds rate limits with a deliberate fault: a planner that ignores the limits that engines report', () => {
     const seeds = [31, 32, 33];
     const maxExpected = (LIMIT_PER_SECOND * WINDOW_MS) / 1000 + 2;
     const limited = simulateLimits(seeds);
