--- a/packages/relay/src/backend/gated-engine-memory.test.ts
+++ b/packages/relay/src/backend/gated-engine-memory.test.ts
@@ -27,7 +27,7 @@
       return Promise.resolve({ running: 3, memoryTokens: 5, word: NOTICE });
     },
   };
-  let commandsLeft = maxCommands;
+  let left = maxCommands;
   const observer = {
     onStartTime: () => observed.push('birth'),
     onNotice: ({ id }: { readonly id: string }) => observed.push(`${id} speaks`),
@@ -36,8 +36,8 @@
     isLimited: () => false,
     tryStatusQuery: () => Promise.resolve(backoffMs === 0),
     tryReservationCommand: () => {
-      commandsLeft -= 1;
-      return commandsLeft >= 0;
+      left -= 1;
+      return left >= 0;
     },
     backoffLeftMs: () => backoffMs,
   };
